--- a/crates/runner/src/effect.rs
+++ b/crates/runner/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the agent wants done.
+//! Effects that the agent asks its process to carry out.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 
 use crate::{event::Ticket, minion::Call};
 
-/// One effect.
+/// An effect to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Call the minion.
     Minion {
-        /// Names the call in its answer.
+        /// Identifies the call in the event with its outcome.
         ticket: Ticket,
-        /// Where.
+        /// Address of the minion, ip:port.
         address: String,
-        /// Identifier of the life that is meant.
+        /// Identifier that the minion must have to answer; empty if any minion may.
         life: String,
         /// The call.
         call: Call,
-        /// Time for the answer.
+        /// Time after which the call counts as unanswered.
         timeout: Duration,
     },
-    /// Ask the planner for orders.
+    /// Poll the planner for orders.
     Poll {
-        /// Names the poll in its answer.
+        /// Identifies the poll in the event with its outcome.
         ticket: Ticket,
-        /// Where.
+        /// Address of the leader, ip:port.
         address: String,
         /// The poll.
         poll: Box<Poll>,
     },
-    /// Ask an entry who plans.
+    /// Ask an entry which entry is the leader.
     AskLead {
-        /// Where.
+        /// Address of the entry to ask, ip:port.
         address: String,
     },
     /// Write a log line.
--- a/crates/runner/src/event.rs
+++ b/crates/runner/src/event.rs
@@ -1,33 +1,33 @@
-//! What the agent is told.
+//! Events that the agent handles.
 
 use sapphire_jobs::{Lead, Orders};
 
 use crate::minion::{Beat, Reply};
 
-/// Number of a call under way, given by the agent.
+/// Number that the agent gives to a call, which the event with its outcome repeats.
 pub type Ticket = u64;
 
-/// One event.
+/// An event for the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The minion speaks of itself.
+    /// A heartbeat of the minion has arrived.
     Beat(Box<Beat>),
-    /// The minion with this identifier says that it ends.
+    /// The minion with this identifier has deregistered, since it is shutting down.
     Leaves(String),
-    /// The minion has answered.
+    /// A call to the minion has been answered or has failed.
     Minion(Ticket, Reply),
     /// The planner has answered a poll.
     Orders(Ticket, Box<Orders>),
-    /// A poll has no answer, or one that says that nobody plans there.
+    /// A poll got no answer, or was declined.
     NoOrders {
-        /// Which poll.
+        /// Ticket of the poll.
         ticket: Ticket,
-        /// It was answered: the process there does not plan.
+        /// Whether an answer came that says that the process there is not the planner.
         is_declined: bool,
     },
-    /// Somebody says who plans.
+    /// The planner or an entry has reported which entry is the leader.
     Lead(Lead),
-    /// The process is asked to end.
+    /// The process was asked to terminate.
     Terminate,
     /// Time has passed.
     Tick,
--- a/crates/runner/src/lib.rs
+++ b/crates/runner/src/lib.rs
@@ -1,10 +1,11 @@
-//! The agent beside a minion that runs tasks: keeps its lease, carries out the planner's
-//! orders, and reports what runs and what has ended. No I/O and no clocks.
+//! State machine of the agent that runs beside a minion: renews the minion's lease, passes the
+//! planner's orders on to it, and reports to the planner what runs and what has ended. It does no
+//! I/O and reads no clock.
 
 pub mod effect;
 pub mod event;
-mod holds;
-mod lead;
+mod leader;
+mod long_polls;
 pub mod machine;
 pub mod minion;
 pub mod options;
--- /dev/null
+++ b/crates/runner/src/long_polls.rs
@@ -0,0 +1,323 @@
+//! Long polls of the minion: they renew its lease, fence orders of earlier sessions, and bring the
+//! lists of running tasks and of ends. Also handles the answers to all calls to the minion.
+
+use std::time::Duration;
+
+use sapphire_jobs::{Ended, Incarnation, LISTED_ENDS, Rejection, Running, task::Task};
+
+use crate::{
+    effect::Effect,
+    event::Ticket,
+    machine::{LongPoll, Machine, Session},
+    minion::{Call, Reply},
+    options,
+};
+
+impl Machine {
+    /// Sends the long polls that are due: one that waits for a run to end, and one that is answered
+    /// at once if a list is wanted. Without a session, fences the minion instead.
+    pub(crate) fn drive_long_polls(&mut self, now: Duration) {
+        if self.session.token == 0 {
+            self.drive_fencing(now);
+            return;
+        }
+        let Some(minion) = &self.minion else { return };
+        let has_ends = minion.ended.keys().any(|number| *number > self.session.acknowledged);
+        let is_acknowledging = minion.acknowledged < self.session.acknowledged;
+        let is_recent = now < minion.list_requested_at + options::LIST_DELAY;
+        self.wants_list |= !is_recent && self.awaits_list(now);
+        if self.wants_list && self.immediate_long_poll.is_none() {
+            self.wants_list = false;
+            self.immediate_long_poll = self.send_long_poll(now, Duration::ZERO);
+        }
+        if self.waiting_long_poll.is_none() && now >= self.next_long_poll {
+            let is_immediate = has_ends || is_acknowledging;
+            let wait = if is_immediate { Duration::ZERO } else { self.long_poll_wait(now) };
+            self.waiting_long_poll = self.send_long_poll(now, wait);
+        }
+    }
+
+    /// Time for which the minion is to wait for a run to end.
+    ///
+    /// Guards against unanswered starts that the next incarnation of the minion carries out while a
+    /// long poll still waits for an answer of the previous one.
+    fn long_poll_wait(&self, now: Duration) -> Duration {
+        let is_open = self.unanswered.is_open(now);
+        if is_open { options::REDUCED_LONG_POLL_WAIT } else { options::LONG_POLL_WAIT }
+    }
+
+    /// Sends a new incarnation of the minion a token above those of the sessions before it.
+    ///
+    /// Guards against an order for the previous incarnation that this one carries out late, since
+    /// it has received no token yet. While no planner can be reached, that state may last for
+    /// seconds. The token of the next session is this one or a higher one.
+    fn drive_fencing(&mut self, now: Duration) {
+        let is_needed = self.minion.as_ref().is_some_and(|minion| !minion.is_fenced);
+        let token = self.provisional_token();
+        if !is_needed || token == 0 || self.fencing_call.is_some() || now < self.next_long_poll {
+            return;
+        }
+        let call = Call::Hold { deadline: None, token, noted: 0, wait: Duration::ZERO };
+        self.fencing_call = self.call_minion(call, options::MINION_TIMEOUT);
+    }
+
+    /// A token above those of earlier sessions; 0 if none is known.
+    fn provisional_token(&self) -> u64 {
+        let Session { highest_token, offered_token, .. } = self.session;
+        let next = if highest_token > 0 { highest_token + 1 } else { 0 };
+        next.max(offered_token)
+    }
+
+    fn fencing_answered(&mut self, now: Duration, reply: &Reply) {
+        self.fencing_call = None;
+        self.next_long_poll = now + options::LIST_DELAY;
+        match reply {
+            Reply::Listed { born_ms, .. } if self.is_other_incarnation(*born_ms) => {
+                self.restarted(now, *born_ms);
+            }
+            Reply::Listed { running, ended, .. } => {
+                let counts = format!("running={} ended={}", running.len(), ended.len());
+                self.mark_fenced(now, &counts);
+            }
+            Reply::Refused(rejection) => self.mark_fenced(now, &format!("refused={rejection:?}")),
+            _ => {}
+        }
+    }
+
+    /// Marks the minion as fenced, after it has sent a list or refused the call.
+    fn mark_fenced(&mut self, now: Duration, outcome: &str) {
+        let token = self.provisional_token();
+        let Some(minion) = &mut self.minion else { return };
+        minion.is_fenced = true;
+        let (id, born_ms) = (&minion.incarnation.id, minion.incarnation.born_ms);
+        let after = now.saturating_sub(minion.first_contact).as_millis();
+        let text = format!(
+            "minion={id} born_ms={born_ms} answers first token={token} after {after} ms: {outcome}"
+        );
+        self.log(text);
+    }
+
+    /// Sends a long poll. It acknowledges ends unless this incarnation has received the
+    /// acknowledgement already.
+    ///
+    /// Guards against the next incarnation of the minion, which may answer instead and forget its
+    /// own ends under these numbers. So a long poll that waits is sent only when there is nothing
+    /// to acknowledge, and one that acknowledges ends only right after a list of this incarnation.
+    /// An agent that has been paused requests a list first.
+    fn send_long_poll(&mut self, now: Duration, wait: Duration) -> Option<LongPoll> {
+        let token = self.session.token;
+        let minion = self.minion.as_ref()?;
+        let is_acknowledging = minion.acknowledged < self.session.acknowledged;
+        let is_recent =
+            minion.lists > 0 && now < minion.list_received_at + options::ACKNOWLEDGE_WINDOW;
+        let noted = if is_acknowledging && is_recent { self.session.acknowledged } else { 0 };
+        let call = Call::Hold { deadline: self.lease_deadline(now), token, noted, wait };
+        let ticket = self.call_minion(call, wait + options::MINION_TIMEOUT)?;
+        Some(LongPoll { ticket, sent_at: now, token, noted })
+    }
+
+    /// Probes whether a minion is running while no heartbeat of one has arrived.
+    ///
+    /// Guards against a planner that waits for the lease of a minion that ended while this agent
+    /// was down. An agent that has just started can't know of that. But where nothing listens,
+    /// nothing runs, and a minion that listens there later has started later.
+    pub(crate) fn drive_probe(&mut self, now: Duration) {
+        let is_known = self.minion.is_some() || self.is_minion_gone;
+        if is_known || self.options.tasks.is_empty() || self.probe.ticket.is_some() {
+            return;
+        }
+        if now < self.probe.next {
+            return;
+        }
+        let token = self.session.offered_token;
+        let call = Call::Hold { deadline: None, token, noted: 0, wait: Duration::ZERO };
+        let ticket = self.next_ticket();
+        self.probe.ticket = Some(ticket);
+        let (address, life) = (self.options.tasks.clone(), String::new());
+        let timeout = options::MINION_TIMEOUT;
+        self.effects.push(Effect::Minion { ticket, address, life, call, timeout });
+    }
+
+    fn probe_answered(&mut self, now: Duration, reply: &Reply) {
+        self.probe.ticket = None;
+        if *reply != Reply::Gone {
+            self.probe.refused_connections = 0;
+            self.probe.next = now + options::ANSWERED_PROBE_DELAY;
+            return;
+        }
+        self.probe.next = now + options::PROBE_DELAY;
+        self.probe.refused_connections += 1;
+        if self.probe.refused_connections >= options::MAX_REFUSED_CONNECTIONS
+            && self.minion.is_none()
+        {
+            self.log("no minion is running: nothing listens at its address".to_owned());
+            self.is_minion_gone = true;
+            self.has_changes = true;
+        }
+    }
+
+    /// Handles the outcome of any call to the minion.
+    pub(crate) fn minion_replied(&mut self, now: Duration, ticket: Ticket, reply: Reply) {
+        if self.probe.ticket == Some(ticket) {
+            self.probe_answered(now, &reply);
+            return;
+        }
+        match reply {
+            Reply::Unknown => self.unanswered.abandon(ticket),
+            _ => self.unanswered.answered(ticket),
+        }
+        // An answer to a call that was meant for an earlier incarnation says nothing about this
+        // one.
+        if self.minion.as_ref().is_some_and(|minion| ticket < minion.first_ticket) {
+            return;
+        }
+        self.update_presence(now, &reply);
+        if self.fencing_call == Some(ticket) {
+            self.fencing_answered(now, &reply);
+            return;
+        }
+        let long_poll = [&mut self.waiting_long_poll, &mut self.immediate_long_poll]
+            .into_iter()
+            .find_map(|pending| pending.take_if(|long_poll| long_poll.ticket == ticket));
+        match long_poll {
+            Some(long_poll) => self.long_poll_answered(now, long_poll, reply),
+            None => self.order_answered(now, ticket, reply),
+        }
+    }
+
+    /// Notes that the minion has answered, or declares it lost when the reply shows that it has
+    /// ended.
+    fn update_presence(&mut self, now: Duration, reply: &Reply) {
+        if self.departure.is_some() {
+            return;
+        }
+        let Some(minion) = &mut self.minion else { return };
+        match reply {
+            Reply::Unknown => {}
+            Reply::Gone => {
+                minion.refused_connections += 1;
+                if minion.refused_connections >= options::MAX_REFUSED_CONNECTIONS {
+                    let id = minion.incarnation.id.clone();
+                    self.log(format!("minion={id} declared lost: nothing listens at its address"));
+                    self.forget_minion();
+                }
+            }
+            Reply::OtherLife => {
+                let id = minion.incarnation.id.clone();
+                self.log(format!("minion={id} declared lost: another one answers at its address"));
+                self.forget_minion();
+            }
+            _ => {
+                minion.refused_connections = 0;
+                minion.last_answer = now;
+            }
+        }
+    }
+
+    fn long_poll_answered(&mut self, now: Duration, long_poll: LongPoll, reply: Reply) {
+        let is_answered = !matches!(reply, Reply::Unknown | Reply::Gone);
+        self.unanswered_long_polls = if is_answered { 0 } else { self.unanswered_long_polls + 1 };
+        let delay = options::retry_delay(self.unanswered_long_polls);
+        self.next_long_poll = now + options::LIST_DELAY.max(delay);
+        match reply {
+            Reply::Listed { born_ms, .. } if self.is_other_incarnation(born_ms) => {
+                self.restarted(now, born_ms);
+            }
+            Reply::Listed { clock, running, ended, unreadable, .. } => {
+                self.log_unreadable_rows(unreadable);
+                self.list_received(now, long_poll, clock, running, ended);
+            }
+            Reply::Refused(Rejection::Fenced) => {
+                let token = long_poll.token;
+                self.log(format!("token={token} refused: the minion has received a higher one"));
+                if long_poll.token == self.session.token {
+                    self.lose_leader(now);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Logs the number of unreadable rows whenever it changes, since the same rows come with each
+    /// list. Such a row names no task, so it can neither be kept nor acknowledged.
+    fn log_unreadable_rows(&mut self, unreadable_rows: usize) {
+        if self.unreadable_rows != unreadable_rows {
+            self.unreadable_rows = unreadable_rows;
+            self.log(format!("unreadable rows in the lists of the minion: {unreadable_rows}"));
+        }
+    }
+
+    /// Whether `born_ms` shows that another incarnation than the known one has answered.
+    fn is_other_incarnation(&self, born_ms: u64) -> bool {
+        let known = self.minion.as_ref().map(|minion| minion.incarnation.born_ms);
+        born_ms > 0 && known.is_some_and(|known| known != born_ms)
+    }
+
+    /// Handles a list which shows that the minion has restarted under the same name.
+    ///
+    /// Guards against mistaking the new incarnation for the old one. The new one has received no
+    /// token and runs nothing that was started before, but it may already run tasks that were
+    /// ordered since it started.
+    fn restarted(&mut self, now: Duration, born_ms: u64) {
+        let Some(minion) = &self.minion else { return };
+        let incarnation = Incarnation { born_ms, ..minion.incarnation.clone() };
+        if born_ms < minion.incarnation.born_ms {
+            // A late answer of the previous incarnation.
+            return;
+        }
+        let (address, sequence) = (minion.address.clone(), 0);
+        let id = incarnation.id.clone();
+        self.log(format!("minion={id} born_ms={born_ms} has restarted under the same name"));
+        self.begin_incarnation(now, incarnation, address, sequence);
+    }
+
+    /// Takes over the lists of running tasks and of ends, and resolves orders by them.
+    fn list_received(
+        &mut self,
+        now: Duration,
+        long_poll: LongPoll,
+        clock: Duration,
+        running: Vec<Running>,
+        ended: Vec<Ended>,
+    ) {
+        let token = self.session.token;
+        let Some(minion) = &mut self.minion else { return };
+        if minion.clock.is_none_or(|(_, read_at)| read_at <= now) {
+            minion.clock = Some((clock, now));
+        }
+        minion.acknowledged = minion.acknowledged.max(long_poll.noted);
+        if long_poll.token == token && minion.fenced_token < token {
+            minion.fenced_token = token;
+            self.has_changes = true;
+        }
+        // Answers on two connections may overtake each other.
+        if long_poll.sent_at < minion.list_requested_at {
+            return;
+        }
+        let is_cut_off = ended.len() >= LISTED_ENDS;
+        minion.list_requested_at = long_poll.sent_at;
+        minion.list_received_at = now;
+        minion.lists += 1;
+        minion.started.retain(|_, (_, started_at)| *started_at >= long_poll.sent_at);
+        minion.running = running
+            .into_iter()
+            .filter_map(|running| Some((Task::read(running.run.as_ref()?), running)))
+            .collect();
+        let acknowledged = self.session.acknowledged;
+        minion.ended.retain(|number, _| *number > acknowledged);
+        let mut has_ended = false;
+        for end in ended.into_iter().filter(|end| end.number > acknowledged) {
+            has_ended |= minion.ended.insert(end.number, end).is_none();
+        }
+        // Guards against reporting one run both as ended and as running: it may have started and
+        // ended while this long poll was waiting. The planner would take the run up again after it
+        // has recorded the end.
+        let ended = &minion.ended;
+        minion.started.retain(|_, (running, _)| !ended.values().any(|end| end.run == running.run));
+        self.has_changes |= has_ended;
+        if minion.ended.is_empty() || minion.acknowledged < self.session.acknowledged {
+            self.next_long_poll = now;
+        }
+        self.resolve_orders(long_poll.sent_at, is_cut_off);
+    }
+}
--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -1,4 +1,4 @@
-//! The agent's state.
+//! State of the agent, and the dispatch of events to what handles them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,154 +14,177 @@
     unanswered,
 };
 
-/// The minion beside the agent.
+/// The current incarnation of the minion beside the agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Minion {
     pub(crate) incarnation: Incarnation,
     pub(crate) address: String,
+    /// Sequence of the latest heartbeat.
     pub(crate) sequence: u64,
-    /// Its clock, and when it was read.
+    /// The minion's clock, and when it was read.
     pub(crate) clock: Option<(Duration, Duration)>,
+    /// Tasks that are running by the latest list.
     pub(crate) running: BTreeMap<Task, Running>,
-    /// Started after the list was made, with when.
+    /// Tasks that were started after the latest list was made, with the time of the answer.
     pub(crate) started: BTreeMap<Task, (Running, Duration)>,
+    /// Ends that the minion still lists, by number.
     pub(crate) ended: BTreeMap<u64, Ended>,
-    /// When the agent first heard of this life.
-    pub(crate) met: Duration,
-    /// When it last answered.
-    pub(crate) answered: Duration,
-    pub(crate) refusals: u32,
-    /// When the hold whose list was taken last was sent.
-    pub(crate) listed: Duration,
-    /// When the list that was taken last arrived.
-    pub(crate) listed_at: Duration,
-    /// Lists taken from it.
+    /// When the agent first had contact with this incarnation.
+    pub(crate) first_contact: Duration,
+    /// When the minion last answered a call.
+    pub(crate) last_answer: Duration,
+    /// Connections refused in a row.
+    pub(crate) refused_connections: u32,
+    /// When the long poll that brought the latest list was sent.
+    pub(crate) list_requested_at: Duration,
+    /// When the latest list arrived.
+    pub(crate) list_received_at: Duration,
+    /// Number of lists received from this incarnation.
     pub(crate) lists: u64,
-    /// Highest token that it has acknowledged to this process.
-    pub(crate) fenced: u64,
-    /// Ends up to this number are known to be forgotten by this life.
-    pub(crate) noted: u64,
-    /// It refuses what was ordered in sessions before its life.
-    pub(crate) is_barred: bool,
-    /// First ticket of a call that was meant for this life.
+    /// Highest token that this incarnation has acknowledged to this process.
+    pub(crate) fenced_token: u64,
+    /// Highest number up to which ends were acknowledged to this incarnation, which no longer lists
+    /// them.
+    pub(crate) acknowledged: u64,
+    /// Whether this incarnation has answered a call with a token above those of the sessions before
+    /// it, so that it refuses their orders.
+    pub(crate) is_fenced: bool,
+    /// First ticket of the calls that are meant for this incarnation.
     pub(crate) first_ticket: Ticket,
 }
 
-/// A hold under way.
+/// A long poll in flight.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Hold {
+pub(crate) struct LongPoll {
     pub(crate) ticket: Ticket,
-    pub(crate) sent: Duration,
+    pub(crate) sent_at: Duration,
     pub(crate) token: u64,
-    /// Ends that it has noted; 0 when it tells of none.
+    /// Number up to which it acknowledges ends; 0 if it acknowledges none.
     pub(crate) noted: u64,
 }
 
-/// Whether anything listens where the minion would.
+/// State of the probes that find out whether anything listens at the minion's configured address.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Look {
+pub(crate) struct Probe {
+    /// Ticket of the probe in flight.
     pub(crate) ticket: Option<Ticket>,
-    pub(crate) refusals: u32,
+    /// Connections refused in a row.
+    pub(crate) refused_connections: u32,
+    /// When the next probe is due.
     pub(crate) next: Duration,
 }
 
-/// A minion that has left, some of whose ends the planner may not know.
+/// Departure of a minion that has deregistered while the planner may not know all of its ends.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Farewell {
+pub(crate) struct Departure {
     since: Duration,
-    /// First poll that tells of all its ends.
-    pub(crate) told: Option<u64>,
+    /// Sequence of the first poll that reports all the ends.
+    pub(crate) reported_in: Option<u64>,
 }
 
-/// Longest time for which a minion that has left is not told of as gone while its ends are.
-const FAREWELL: Duration = Duration::from_millis(600);
+/// Longest time for which the ends of a minion that has deregistered are reported before the minion
+/// itself is reported as gone.
+const DEPARTURE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What the planner has granted.
+/// The session that the planner has granted to the current incarnation of the minion.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Session {
     pub(crate) term: u64,
+    /// Fencing token of the session; 0 while there is no session.
     pub(crate) token: u64,
-    /// Highest token of any session so far, also of one that is over.
-    pub(crate) highest: u64,
+    /// Highest token of any session so far, including those that are over.
+    pub(crate) highest_token: u64,
     /// Highest token that was granted while no minion was known.
-    pub(crate) offered: u64,
-    pub(crate) noted: u64,
-    /// Until when the minion may run on.
+    pub(crate) offered_token: u64,
+    /// Number up to which the planner has acknowledged ends.
+    pub(crate) acknowledged: u64,
+    /// End of the lease, up to which the minion may run tasks.
     pub(crate) lease_until: Duration,
 }
 
-/// A poll under way.
+/// A poll in flight.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PollSent {
+pub(crate) struct PendingPoll {
     pub(crate) ticket: Ticket,
     pub(crate) sequence: u64,
-    pub(crate) at: Duration,
+    pub(crate) sent_at: Duration,
 }
 
-/// The agent.
+/// The agent's state machine.
 pub struct Machine {
     pub(crate) options: Options,
     pub(crate) minion: Option<Minion>,
-    /// Whatever minion there was has ended.
+    /// Whether the minion that was known has ended, or probes have shown that none is running.
     pub(crate) is_minion_gone: bool,
-    pub(crate) look: Look,
-    pub(crate) farewell: Option<Farewell>,
+    pub(crate) probe: Probe,
+    pub(crate) departure: Option<Departure>,
     pub(crate) session: Session,
-    pub(crate) lead: Option<Lead>,
+    /// The entry that plans, if it is known.
+    pub(crate) leader: Option<Lead>,
+    /// Addresses of entries to ask for the leader.
     pub(crate) entries: Vec<String>,
+    /// Position of the next entry to ask.
     pub(crate) next_entry: usize,
-    pub(crate) ask_lead_at: Duration,
+    pub(crate) next_leader_query: Duration,
+    /// Polls in a row that failed.
     pub(crate) failed_polls: u32,
-    /// Orders that the minion has not settled.
+    /// Orders that are not resolved, by task.
     pub(crate) orders: BTreeMap<Task, Order>,
     pub(crate) refusals: Refusals,
-    /// Starts that may still be carried out, also those of earlier sessions.
+    /// Starts that may still be carried out, including those of earlier sessions.
     pub(crate) unanswered: unanswered::Starts,
-    /// Verdicts with the first poll that told of them.
+    /// Verdicts, each with the sequence of the first poll that reported it.
     pub(crate) verdicts: Vec<(Verdict, Option<u64>)>,
-    pub(crate) polls: Vec<PollSent>,
+    pub(crate) polls: Vec<PendingPoll>,
     pub(crate) last_poll: Duration,
+    /// Sequence of the latest poll.
     pub(crate) sequence: u64,
-    /// The planner is to hear of something.
-    pub(crate) has_news: bool,
-    pub(crate) waiting_hold: Option<Hold>,
-    pub(crate) quick_hold: Option<Hold>,
-    /// The hold that bars what earlier sessions ordered, before there is a session.
-    pub(crate) bar: Option<Ticket>,
-    /// A list is wanted at once.
+    /// Whether there are changes that the planner should learn of.
+    pub(crate) has_changes: bool,
+    /// The long poll in flight that may wait for a run to end.
+    pub(crate) waiting_long_poll: Option<LongPoll>,
+    /// The long poll in flight that the minion answers without waiting.
+    pub(crate) immediate_long_poll: Option<LongPoll>,
+    /// Ticket of the call in flight that has a new incarnation refuse orders of earlier sessions
+    /// before it has a session of its own.
+    pub(crate) fencing_call: Option<Ticket>,
+    /// Whether a list is to be requested at once.
     pub(crate) wants_list: bool,
-    pub(crate) next_hold: Duration,
-    /// Holds in a row without an answer.
-    pub(crate) unanswered_holds: u32,
-    /// Rows of the latest lists that can't be read.
-    pub(crate) unreadable: usize,
-    pub(crate) is_leaving: Option<Duration>,
-    /// When it was last told something.
-    last: Duration,
-    /// When it last woke from a pause.
-    pub(crate) woke: Duration,
+    pub(crate) next_long_poll: Duration,
+    /// Long polls in a row without an answer.
+    pub(crate) unanswered_long_polls: u32,
+    /// Number of rows of the latest lists that can't be read.
+    pub(crate) unreadable_rows: usize,
+    /// When the process was asked to terminate.
+    pub(crate) terminating_since: Option<Duration>,
+    /// Time of the latest event.
+    last_event: Duration,
+    /// When the process last resumed after it had been paused.
+    pub(crate) resumed_at: Duration,
     last_ticket: Ticket,
-    pub(crate) out: Vec<Effect>,
+    /// Effects of the event that is being handled.
+    pub(crate) effects: Vec<Effect>,
 }
 
-/// Longest time between the request to end and the end, while orders are being settled. Short,
-/// since the agent's next life looks after the minion and its lease goes on meanwhile.
-const LEAVE: Duration = Duration::from_millis(600);
+/// Longest time between the request to terminate and the exit, while orders are being resolved.
+/// Short, since the next process of the agent takes care of the minion, whose lease goes on
+/// meanwhile.
+const TERMINATION_GRACE: Duration = Duration::from_millis(600);
 
 impl Machine {
-    /// An agent that knows of nothing.
+    /// Creates an agent that knows of no minion and no leader.
     pub fn new(options: Options) -> Self {
         let entries = options.entries.clone();
         Machine {
             options,
             minion: None,
             is_minion_gone: false,
-            look: Look::default(),
+            probe: Probe::default(),
             session: Session::default(),
-            lead: None,
+            leader: None,
             entries,
             next_entry: 0,
-            ask_lead_at: Duration::ZERO,
+            next_leader_query: Duration::ZERO,
             failed_polls: 0,
             orders: BTreeMap::new(),
             refusals: Refusals::default(),
@@ -170,125 +193,133 @@
             polls: Vec::new(),
             last_poll: Duration::ZERO,
             sequence: 0,
-            has_news: false,
-            waiting_hold: None,
-            quick_hold: None,
-            bar: None,
-            farewell: None,
+            has_changes: false,
+            waiting_long_poll: None,
+            immediate_long_poll: None,
+            fencing_call: None,
+            departure: None,
             wants_list: false,
-            next_hold: Duration::ZERO,
-            unanswered_holds: 0,
-            unreadable: 0,
-            is_leaving: None,
-            last: Duration::ZERO,
-            woke: Duration::ZERO,
+            next_long_poll: Duration::ZERO,
+            unanswered_long_polls: 0,
+            unreadable_rows: 0,
+            terminating_since: None,
+            last_event: Duration::ZERO,
+            resumed_at: Duration::ZERO,
             last_ticket: 0,
-            out: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
-    /// Takes an event at a steady time; returns what is to be done.
+    /// Handles an event at the monotonic time `now`; returns the effects to carry out.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
-        self.note_pause(now);
+        self.detect_pause(now);
         match event {
-            Event::Beat(beat) => self.beat(now, *beat),
-            Event::Leaves(id) => self.leaves(now, &id),
-            Event::Minion(ticket, reply) => self.minion_answered(now, ticket, reply),
-            Event::Orders(ticket, orders) => self.ordered(now, ticket, *orders),
-            Event::NoOrders { ticket, is_declined } => self.no_orders(now, ticket, is_declined),
-            Event::Lead(lead) => self.follow(lead),
+            Event::Beat(heartbeat) => self.heartbeat_received(now, *heartbeat),
+            Event::Leaves(id) => self.deregistered(now, &id),
+            Event::Minion(ticket, reply) => self.minion_replied(now, ticket, reply),
+            Event::Orders(ticket, orders) => self.orders_received(now, ticket, *orders),
+            Event::NoOrders { ticket, is_declined } => self.poll_failed(now, ticket, is_declined),
+            Event::Lead(leader) => self.follow_leader(leader),
             Event::Terminate => self.terminate(now),
             Event::Tick => {}
         }
-        self.go_on(now);
-        std::mem::take(&mut self.out)
+        self.advance(now);
+        std::mem::take(&mut self.effects)
     }
 
-    /// Notes that this process stood still for a while, as one that is frozen does.
-    fn note_pause(&mut self, now: Duration) {
-        let pause = now.saturating_sub(self.last);
-        if !self.last.is_zero() && pause >= options::PAUSE {
-            self.log(format!("paused for {} ms; asks for a list first", pause.as_millis()));
-            self.woke = now;
+    /// Detects that this process was paused since the latest event.
+    fn detect_pause(&mut self, now: Duration) {
+        let pause = now.saturating_sub(self.last_event);
+        if !self.last_event.is_zero() && pause >= options::PAUSE_THRESHOLD {
+            self.log(format!(
+                "process was paused for {} ms; requests a list before it sends orders",
+                pause.as_millis()
+            ));
+            self.resumed_at = now;
             self.wants_list = true;
         }
-        self.last = now;
+        self.last_event = now;
     }
 
-    /// Makes the calls that are due.
-    fn go_on(&mut self, now: Duration) {
-        if self.farewell.is_some_and(|farewell| now >= farewell.since + FAREWELL) {
+    /// Makes the calls that are due, and exits once the process may terminate.
+    fn advance(&mut self, now: Duration) {
+        if self.departure.is_some_and(|departure| now >= departure.since + DEPARTURE_TIMEOUT) {
             self.forget_minion();
         }
-        if self.farewell.is_none() {
-            self.watch_silence(now);
-            self.drive_look(now);
+        if self.departure.is_none() {
+            self.update_silence(now);
+            self.drive_probe(now);
             self.drive_orders(now);
-            self.drive_holds(now);
+            self.drive_long_polls(now);
         }
         self.drive_polls(now);
-        self.drive_lead(now);
-        if let Some(since) = self.is_leaving
-            && (self.orders.is_empty() || now >= since + LEAVE)
-            && now >= since + options::POLL_PAUSE * 4
+        self.drive_leader_queries(now);
+        if let Some(since) = self.terminating_since
+            && (self.orders.is_empty() || now >= since + TERMINATION_GRACE)
+            && now >= since + options::POLL_DELAY * 4
         {
-            self.log("stops: asked to end, orders settled or handed back".to_owned());
-            self.out.push(Effect::Exit);
+            self.log("exits on request; orders are resolved or left to the planner".to_owned());
+            self.effects.push(Effect::Exit);
         }
     }
 
     pub(crate) fn log(&mut self, text: String) {
-        self.out.push(Effect::Log(text));
+        self.effects.push(Effect::Log(text));
     }
 
-    pub(crate) fn ticket(&mut self) -> Ticket {
+    pub(crate) fn next_ticket(&mut self) -> Ticket {
         self.last_ticket += 1;
         self.last_ticket
     }
 
-    pub(crate) fn call(&mut self, call: Call, timeout: Duration) -> Option<Ticket> {
-        let ticket = self.ticket();
+    /// Calls the minion; none if no minion is known.
+    pub(crate) fn call_minion(&mut self, call: Call, timeout: Duration) -> Option<Ticket> {
+        let ticket = self.next_ticket();
         let minion = self.minion.as_ref()?;
         let address = minion.address.clone();
         let life = minion.incarnation.id.clone();
-        self.out.push(Effect::Minion { ticket, address, life, call, timeout });
+        self.effects.push(Effect::Minion { ticket, address, life, call, timeout });
         Some(ticket)
     }
 
-    fn beat(&mut self, now: Duration, beat: Beat) {
+    fn heartbeat_received(&mut self, now: Duration, heartbeat: Beat) {
         if let Some(minion) = &mut self.minion {
             let known = &minion.incarnation;
-            let is_same =
-                known.id == beat.incarnation.id && known.born_ms == beat.incarnation.born_ms;
-            let is_older = !is_same && beat.incarnation.born_ms < known.born_ms;
-            if is_older || (is_same && beat.sequence <= minion.sequence) {
-                // Late: of an earlier life, or overtaken by a newer one.
+            let is_same = known.id == heartbeat.incarnation.id
+                && known.born_ms == heartbeat.incarnation.born_ms;
+            let is_older = !is_same && heartbeat.incarnation.born_ms < known.born_ms;
+            if is_older || (is_same && heartbeat.sequence <= minion.sequence) {
+                // A late heartbeat: of an earlier incarnation, or overtaken by a newer one.
                 return;
             }
             if is_same {
                 let is_silent = known.is_silent;
-                let incarnation = Incarnation { is_silent, ..beat.incarnation };
-                self.has_news |= minion.incarnation.is_draining != incarnation.is_draining
+                let incarnation = Incarnation { is_silent, ..heartbeat.incarnation };
+                self.has_changes |= minion.incarnation.is_draining != incarnation.is_draining
                     || minion.incarnation.capacity != incarnation.capacity;
                 minion.incarnation = incarnation;
-                minion.sequence = beat.sequence;
-                minion.address = beat.address;
+                minion.sequence = heartbeat.sequence;
+                minion.address = heartbeat.address;
                 return;
             }
         }
-        self.meet(now, beat);
+        self.incarnation_appeared(now, heartbeat);
     }
 
-    /// A new life of the minion. Whatever was ordered of the one before is over.
-    fn meet(&mut self, now: Duration, beat: Beat) {
-        let Incarnation { id, born_ms, .. } = &beat.incarnation;
-        self.log(format!("minion={id} born_ms={born_ms} address={} met", beat.address));
-        let Beat { incarnation, address, sequence } = beat;
-        self.begin_life(now, incarnation, address, sequence);
+    /// Handles the first heartbeat of a new incarnation of the minion.
+    fn incarnation_appeared(&mut self, now: Duration, heartbeat: Beat) {
+        let Incarnation { id, born_ms, .. } = &heartbeat.incarnation;
+        self.log(format!(
+            "minion={id} born_ms={born_ms} address={} first heartbeat",
+            heartbeat.address
+        ));
+        let Beat { incarnation, address, sequence } = heartbeat;
+        self.begin_incarnation(now, incarnation, address, sequence);
     }
 
-    /// Begins with a life of the minion of which nothing is known yet.
-    pub(crate) fn begin_life(
+    /// Begins with a new incarnation of the minion, of which nothing else is known yet. Orders for
+    /// the previous one are dropped.
+    pub(crate) fn begin_incarnation(
         &mut self,
         now: Duration,
         incarnation: Incarnation,
@@ -297,7 +328,7 @@
     ) {
         self.forget_minion();
         self.is_minion_gone = false;
-        self.unanswered.meet(&incarnation.id);
+        self.unanswered.set_minion(&incarnation.id);
         self.minion = Some(Minion {
             incarnation,
             address,
@@ -306,108 +337,112 @@
             running: BTreeMap::new(),
             started: BTreeMap::new(),
             ended: BTreeMap::new(),
-            met: now,
-            answered: now,
-            refusals: 0,
-            listed: Duration::ZERO,
-            listed_at: now,
+            first_contact: now,
+            last_answer: now,
+            refused_connections: 0,
+            list_requested_at: Duration::ZERO,
+            list_received_at: now,
             lists: 0,
-            fenced: 0,
-            noted: 0,
-            is_barred: false,
+            fenced_token: 0,
+            acknowledged: 0,
+            is_fenced: false,
             first_ticket: self.last_ticket + 1,
         });
         self.wants_list = true;
-        self.next_hold = now;
+        self.next_long_poll = now;
     }
 
+    /// Forgets the minion, which has ended, and its session.
     pub(crate) fn forget_minion(&mut self) {
         self.is_minion_gone |= self.minion.is_some();
         self.minion = None;
         self.drop_orders();
         self.session.token = 0;
-        self.session.noted = 0;
-        self.waiting_hold = None;
-        self.quick_hold = None;
-        self.bar = None;
-        self.farewell = None;
-        self.has_news = true;
+        self.session.acknowledged = 0;
+        self.waiting_long_poll = None;
+        self.immediate_long_poll = None;
+        self.fencing_call = None;
+        self.departure = None;
+        self.has_changes = true;
     }
 
-    /// Orders of the session so far are void, but starts on their way may yet be carried out.
+    /// Drops the orders of the session, which are invalid now. Starts in flight may still be
+    /// carried out and stay recorded as unanswered.
     pub(crate) fn drop_orders(&mut self) {
-        self.unanswered.give_up_all();
+        self.unanswered.abandon_all();
         self.orders.clear();
         self.verdicts.clear();
         self.refusals.clear();
     }
 
-    /// A minion says that it ends.
+    /// Handles the deregistration of a minion.
     ///
-    /// Guards against a living minion that is taken as gone: the word may be of an earlier life
-    /// under the same name, held up on its way. One that did not say before that it drains is
-    /// asked, and gone when nothing listens there.
+    /// Guards against a live minion that is declared lost: the deregistration may be that of an
+    /// earlier incarnation under the same name, delayed on its way. A minion that has not reported
+    /// that it drains is asked for a list, and declared lost only if nothing listens there.
     ///
-    /// Guards against work that was done and is done again: the planner takes all that it has not
-    /// heard the end of as lost with the minion, so it is told of the ends first.
-    fn leaves(&mut self, now: Duration, id: &str) {
+    /// Guards against work that was done and is done again: the planner counts each run whose end
+    /// it does not know as lost with the minion, so the ends are reported first.
+    fn deregistered(&mut self, now: Duration, id: &str) {
         let Some(minion) = self.minion.as_ref().filter(|minion| minion.incarnation.id == id) else {
             return;
         };
         if minion.incarnation.is_draining {
             let has_ended = !minion.ended.is_empty();
-            self.log(format!("minion={id} leaves"));
+            self.log(format!("minion={id} deregistered"));
             if has_ended {
-                let farewell = Farewell { since: now, told: None };
-                self.farewell.get_or_insert(farewell);
-                self.has_news = true;
+                let departure = Departure { since: now, reported_in: None };
+                self.departure.get_or_insert(departure);
+                self.has_changes = true;
             } else {
                 self.forget_minion();
             }
         } else {
-            self.log(format!("minion={id} leaves, though it does not drain; asked"));
+            self.log(format!("minion={id} deregistered, but does not drain; requests a list"));
             self.wants_list = true;
         }
     }
 
-    /// Tells the planner of a minion that doesn't answer, so that it is given nothing more.
-    fn watch_silence(&mut self, now: Duration) {
+    /// Updates whether the minion counts as silent, which is reported to the planner so that it
+    /// places no more tasks there.
+    fn update_silence(&mut self, now: Duration) {
         let Some(minion) = &mut self.minion else { return };
-        let is_silent = now >= minion.answered + options::MINION_SILENCE;
+        let is_silent = now >= minion.last_answer + options::SILENCE_TIMEOUT;
         if minion.incarnation.is_silent != is_silent {
             minion.incarnation.is_silent = is_silent;
             let id = minion.incarnation.id.clone();
-            self.has_news = true;
+            self.has_changes = true;
             self.log(format!("minion={id} silent={is_silent}"));
         }
     }
 
     fn terminate(&mut self, now: Duration) {
-        if self.is_leaving.is_none() {
-            self.log("asked to end".to_owned());
-            self.is_leaving = Some(now);
-            self.has_news = true;
+        if self.terminating_since.is_none() {
+            self.log("asked to terminate".to_owned());
+            self.terminating_since = Some(now);
+            self.has_changes = true;
         }
     }
 
-    /// The minion's clock now; a little behind rather than ahead.
+    /// Estimate of the minion's clock at `now`. It is behind rather than ahead, since the reading
+    /// has aged on its way to the agent.
     pub(crate) fn minion_clock(&self, now: Duration) -> Option<Duration> {
-        let (clock, read) = self.minion.as_ref()?.clock?;
-        Some(clock + now.saturating_sub(read))
+        let (clock, read_at) = self.minion.as_ref()?.clock?;
+        Some(clock + now.saturating_sub(read_at))
     }
 
-    /// End of the lease by the minion's clock, while there is a lease.
-    pub(crate) fn deadline(&self, now: Duration) -> Option<Duration> {
+    /// End of the lease by the minion's clock; none without a lease.
+    pub(crate) fn lease_deadline(&self, now: Duration) -> Option<Duration> {
         let left = self.session.lease_until.checked_sub(now)?;
         Some(self.minion_clock(now)? + left)
     }
 
-    /// Takes over a changed bound.
+    /// Changes the longest time for which a task that is being stopped may go on.
     pub fn set_stop(&mut self, stop: Duration) {
         self.options.stop = stop;
     }
 
-    /// Number of orders that are not settled.
+    /// Number of orders that are not resolved.
     pub fn open_orders(&self) -> usize {
         self.orders.len()
     }
--- a/crates/runner/src/minion.rs
+++ b/crates/runner/src/minion.rs
@@ -1,37 +1,37 @@
-//! What a minion is asked, what it answers, and what it says of itself.
+//! Heartbeats of a minion, calls to it and its replies.
 
 use std::time::Duration;
 
 use sapphire_jobs::{Ended, Incarnation, Rejection, Running, Start, task::Task};
 
-/// What a minion says of itself from time to time.
+/// A heartbeat, which a minion sends periodically.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Beat {
-    /// Its life, with what it has.
+    /// The minion's incarnation, with its capacity and state.
     pub incarnation: Incarnation,
-    /// Where it takes orders, ip:port.
+    /// Address at which the minion takes calls, ip:port.
     pub address: String,
-    /// Grows with each beat of one life, so that a late one is known.
+    /// Grows with each heartbeat of one incarnation, so that a late one is recognised.
     pub sequence: u64,
 }
 
-/// One call.
+/// A call to a minion.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Extends the lease and asks what runs.
+    /// A long poll: extends the lease and asks for the lists of running tasks and of ends.
     Hold {
-        /// End of the lease by the minion's clock; none leaves it as it is.
+        /// End of the lease by the minion's clock; none leaves the lease as it is.
         deadline: Option<Duration>,
         /// Fencing token.
         token: u64,
-        /// Ends up to this number need not be listed any more.
+        /// Ends up to this number are acknowledged: the minion need not list them any more.
         noted: u64,
-        /// How long to wait for an end.
+        /// Longest time for which the minion waits for a run to end before it answers.
         wait: Duration,
     },
     /// Starts a task.
     Start {
-        /// What to start.
+        /// The run to start.
         start: Box<Start>,
         /// End of the lease by the minion's clock.
         deadline: Duration,
@@ -40,39 +40,41 @@
     },
     /// Stops a task.
     Stop {
-        /// Which.
+        /// The task.
         task: Task,
-        /// Which run of it.
+        /// Number of the run to stop.
         number: u32,
         /// Fencing token.
         token: u64,
     },
 }
 
-/// One answer.
+/// A minion's reply to a call, or the failure of the call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// What runs and what has ended.
+    /// The lists of running tasks and of ends.
     Listed {
-        /// Unix time of the start of the life that answers; 0 when it doesn't say.
+        /// Unix time in ms at which the answering incarnation started; 0 if the minion does not
+        /// report it.
         born_ms: u64,
         /// The minion's clock.
         clock: Duration,
-        /// Tasks that run.
+        /// Tasks that are running.
         running: Vec<Running>,
-        /// Ends that were not noted.
+        /// Ends that were not acknowledged yet.
         ended: Vec<Ended>,
-        /// Rows of both lists that can't be read.
+        /// Number of rows of both lists that can't be read.
         unreadable: usize,
     },
-    /// Done.
+    /// The order was carried out.
     Done,
-    /// Not done, and why.
+    /// The order was refused, for this reason.
     Refused(Rejection),
-    /// Another life of the minion has answered.
+    /// A minion with another identifier answers at the address.
     OtherLife,
-    /// Nothing listens at its address.
+    /// Nothing listens at the minion's address.
     Gone,
-    /// No answer, or none that can be read: it may be carried out, also later.
+    /// No answer came, or none that can be read. The call may have been carried out, or may still
+    /// be carried out later.
     Unknown,
 }
--- a/crates/runner/src/options.rs
+++ b/crates/runner/src/options.rs
@@ -1,72 +1,75 @@
-//! Settings of the agent.
+//! Settings and timing constants of the agent.
 
 use std::time::Duration;
 
-/// Names and addresses.
+/// Settings of the agent.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name.
+    /// Name of the agent.
     pub name: String,
-    /// Where it listens for other processes.
+    /// Address at which the agent listens for other processes, ip:port.
     pub address: String,
-    /// Start of its process; grows from start to start.
+    /// Generation of this process, which grows from start to start.
     pub generation: u64,
-    /// Entries to ask who plans, to begin with.
+    /// Addresses of the entries that are asked for the leader until the planner has sent a list.
     pub entries: Vec<String>,
-    /// Where the minion takes orders, if that is known before it speaks; else empty.
+    /// Address at which the minion takes calls, if it is known before the first heartbeat; else
+    /// empty.
     pub tasks: String,
-    /// Longest time that a stopped task may go on.
+    /// Longest time for which a task that is being stopped may go on.
     pub stop: Duration,
 }
 
-/// How long the minion waits for an end before it answers a hold. Each answer is a renewal of
-/// the lease and shows how far tasks have come; it stays on the machine and costs little.
-pub const HOLD_WAIT: Duration = Duration::from_millis(400);
-/// The same while starts without an answer may be carried out, by a next life of the minion above
-/// all: the first hold that this one answers has it refuse them.
-pub const SHORT_HOLD_WAIT: Duration = Duration::from_millis(20);
-/// Time for the minion's answer beyond what it was asked to wait. It is on the same machine; a
-/// busy one has been seen to take tens of milliseconds.
+/// Time for which the minion waits for a run to end before it answers a long poll. Each answer
+/// renews the lease and reports the progress of tasks; it stays on the machine and costs little.
+pub const LONG_POLL_WAIT: Duration = Duration::from_millis(400);
+/// The same while unanswered starts may still be carried out, above all by a next incarnation of
+/// the minion: once that one has answered a long poll, it refuses them.
+pub const REDUCED_LONG_POLL_WAIT: Duration = Duration::from_millis(20);
+/// Timeout of a call to the minion, beyond the time for which it was asked to wait. The minion is
+/// on the same machine; on a busy one, answers have taken tens of milliseconds.
 pub const MINION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time after which a minion carries out a call that had no answer; the platform says 2 to
-/// 12 seconds.
-pub const LATEST_CALL: Duration = Duration::from_secs(12);
-/// Pause before a call without an answer is made once more, doubled with each further one. The
-/// first repetition goes at once, since a single order may be lost; a minion that answers nothing
-/// costs a connection a call.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Longest such pause, well below the lease.
-pub const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(1_600);
-/// Time without an answer from the minion after which the planner is told.
-pub const MINION_SILENCE: Duration = Duration::from_millis(1_800);
-/// Pause between holds while ends are listed that are not noted yet: the minion answers at once
-/// then, and asking on without a pause would take the processor.
-pub const LISTED_PAUSE: Duration = Duration::from_millis(90);
-/// Time after a list in which its minion is told of the ends that are noted: the hold that tells of
-/// them goes out in the same turn, or as soon as another one on its way is answered.
-pub const NOTED_AFTER: Duration = Duration::from_millis(20);
-/// Time for the planner's answer: the time it holds a poll, and two messages between regions.
+/// Longest time after sending in which a minion may carry out a call that got no answer; the
+/// platform states 2 to 12 seconds.
+pub const MAX_CALL_DELAY: Duration = Duration::from_secs(12);
+/// Delay before the second repetition of an unanswered call, doubled with each further one. The
+/// first repetition is sent at once, since a single order may be lost. Growing delays bound the
+/// cost of a minion that answers nothing: each call to it takes a connection.
+pub const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Upper bound of the delay, well below the lease.
+pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
+/// Time without an answer from the minion after which the agent reports it to the planner as
+/// silent.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Interval between long polls while the minion lists ends that are not acknowledged: it answers at
+/// once then, and polling without a delay would take up the processor.
+pub const LIST_DELAY: Duration = Duration::from_millis(90);
+/// Time after a list in which its ends may be acknowledged to the minion that sent it. The long
+/// poll that acknowledges them goes out in the same turn, or as soon as another one in flight is
+/// answered.
+pub const ACKNOWLEDGE_WINDOW: Duration = Duration::from_millis(20);
+/// Timeout of a poll: the time for which the planner holds it, and two messages between regions.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Least time between two polls, so that several ends go into one.
-pub const POLL_PAUSE: Duration = Duration::from_millis(8);
-/// Time between two events after which the process was paused: far above the time between ticks, and
-/// below that in which a minion may end and start again.
-pub const PAUSE: Duration = Duration::from_millis(700);
-/// Pause between looks at whether a minion is there at all.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(120);
-/// The same once one has answered; its heartbeat says the rest.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(1_000);
-/// Pause before an entry is asked who plans.
-pub const LEAD_PAUSE: Duration = Duration::from_millis(120);
-/// Time for an entry's answer to that.
+pub const POLL_DELAY: Duration = Duration::from_millis(8);
+/// Time between two events from which on the agent assumes that its process was paused: far above
+/// the time between ticks, and below the time in which a minion may end and start again.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
+/// Interval between probes for a minion of which no heartbeat has arrived.
+pub const PROBE_DELAY: Duration = Duration::from_millis(120);
+/// The same after a probe was answered: the heartbeat is expected to follow.
+pub const ANSWERED_PROBE_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval at which entries are asked for the leader.
+pub const LEADER_QUERY_DELAY: Duration = Duration::from_millis(120);
+/// Timeout of such a query.
 pub const LEAD_TIMEOUT: Duration = Duration::from_millis(400);
-/// Connections refused in a row after which the minion's process is taken as ended.
-pub const REFUSALS: u32 = 3;
+/// Number of refused connections in a row after which the agent declares the minion lost.
+pub const MAX_REFUSED_CONNECTIONS: u32 = 3;
 
-/// Pause before the next try of a call, after so many in a row without an answer.
-pub(crate) fn retry_pause(tries: u32) -> Duration {
-    match tries {
+/// Delay before the next attempt of a call, after this many in a row without an answer.
+pub(crate) fn retry_delay(attempts: u32) -> Duration {
+    match attempts {
         0 | 1 => Duration::ZERO,
-        more => (RETRY_PAUSE * 2_u32.pow((more - 2).min(8))).min(LONGEST_RETRY_PAUSE),
+        more => (RETRY_DELAY * 2_u32.pow((more - 2).min(8))).min(MAX_RETRY_DELAY),
     }
 }
--- a/crates/runner/src/order.rs
+++ b/crates/runner/src/order.rs
@@ -1,4 +1,4 @@
-//! One order on its way to the minion.
+//! An order of the planner that is not resolved yet.
 
 use std::time::Duration;
 
@@ -10,34 +10,37 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Kind {
     Start(Box<Start>),
-    /// Refused at the time given, after a try without an answer, which may have been carried out.
-    Unsettled(Duration),
-    /// To stop; answered at the time given.
+    /// A start that the minion refused at the given time, although an earlier, unanswered attempt
+    /// may have been carried out.
+    Refused(Duration),
+    /// A stop, with the time at which the minion answered it.
     Stop(Option<Duration>),
 }
 
 impl Kind {
-    /// Whether it is to start something, whatever came of its tries.
+    /// Whether the order is a start, whatever the outcome of its attempts.
     pub(crate) fn is_start(&self) -> bool {
-        matches!(self, Kind::Start(_) | Kind::Unsettled(_))
+        matches!(self, Kind::Start(_) | Kind::Refused(_))
     }
 
-    /// When the minion gave the answer that only a list can settle.
-    pub(crate) fn answered(&self) -> Option<Duration> {
+    /// When the minion answered an order whose outcome only a list can show.
+    pub(crate) fn answered_at(&self) -> Option<Duration> {
         match self {
-            Kind::Unsettled(answered) | Kind::Stop(Some(answered)) => Some(*answered),
+            Kind::Refused(answered_at) | Kind::Stop(Some(answered_at)) => Some(*answered_at),
             Kind::Start(_) | Kind::Stop(None) => None,
         }
     }
 }
 
-/// An order.
+/// An order for one task.
 #[derive(Clone, Debug)]
 pub(crate) struct Order {
+    /// Number of the run.
     pub(crate) number: u32,
     pub(crate) kind: Kind,
+    /// Ticket of the call in flight.
     pub(crate) call: Option<Ticket>,
-    pub(crate) tries: u32,
-    /// Not to be sent again before.
+    pub(crate) attempts: u32,
+    /// Time before which the order is not sent again.
     pub(crate) retry_at: Duration,
 }
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to the minion.
+//! Passes the planner's orders to start and stop tasks on to the minion, and resolves them.
 
 use std::time::Duration;
 
@@ -12,44 +12,44 @@
     order::{Kind, Order},
 };
 
-/// Calls with orders under way at once, so that a minion that is slow to answer some does not
-/// need a connection for each.
+/// Limit of calls with orders in flight at once, so that a minion that answers slowly does not take
+/// a connection for each order.
 const MAX_CALLS: usize = 4;
 
 impl Machine {
-    /// Takes an order to start; one that is known already changes nothing.
+    /// Accepts an order to start a run. An order for a run that is known already changes nothing.
     pub(crate) fn order_start(&mut self, start: Start) {
         let Some(run) = start.run.clone() else { return };
         let task = Task::read(&run);
         if self.refusals.covers(&task, run.run) {
             self.log(format!(
-                "task={task} run={} ordered again after its refusal; ignored",
+                "task={task} run={} start ignored: the run was refused before",
                 run.run
             ));
             return;
         }
         let known = self.orders.get(&task).is_some_and(|order| order.number >= run.run);
         let Some(minion) = &self.minion else { return };
-        let is_there = |running: &Running| running.run.as_ref() == Some(&run);
-        let is_running = minion.running.get(&task).is_some_and(is_there)
-            || minion.started.get(&task).is_some_and(|(running, _)| is_there(running));
+        let is_this_run = |running: &Running| running.run.as_ref() == Some(&run);
+        let is_running = minion.running.get(&task).is_some_and(is_this_run)
+            || minion.started.get(&task).is_some_and(|(running, _)| is_this_run(running));
         let has_ended = minion.ended.values().any(|ended| ended.run.as_ref() == Some(&run));
         if known || is_running || has_ended {
             return;
         }
         if minion.incarnation.is_draining {
-            self.log(format!("task={task} run={} refused: the minion drains", run.run));
+            self.log(format!("task={task} run={} refused: the minion is draining", run.run));
             self.verdict(run, Rejection::Draining);
             return;
         }
         let kind = Kind::Start(Box::new(start));
         self.orders.insert(
             task,
-            Order { number: run.run, kind, call: None, tries: 0, retry_at: Duration::ZERO },
+            Order { number: run.run, kind, call: None, attempts: 0, retry_at: Duration::ZERO },
         );
     }
 
-    /// Takes an order to stop.
+    /// Accepts an order to stop a run, which replaces the order to start it.
     pub(crate) fn order_stop(&mut self, run: &Run) {
         let task = Task::read(run);
         let is_known = self.orders.get(&task).is_some_and(|order| {
@@ -60,26 +60,27 @@
             let kind = Kind::Stop(None);
             self.orders.insert(
                 task,
-                Order { number: run.run, kind, call: None, tries: 0, retry_at: Duration::ZERO },
+                Order { number: run.run, kind, call: None, attempts: 0, retry_at: Duration::ZERO },
             );
         }
     }
 
-    /// Sends what has not been sent, and again what has got no answer. A repeated order is
-    /// harmless: the minion knows its run.
+    /// Sends orders that were not sent yet, and repeats those that got no answer. A repetition is
+    /// harmless: the minion recognises it by the number of the run.
     ///
     /// Guards against a task that runs twice: while this process was paused, the minion may have
-    /// started again and carried out a late start of an earlier run. A list shows that life.
+    /// restarted and carried out a late start of an earlier run. A list reveals the new
+    /// incarnation.
     pub(crate) fn drive_orders(&mut self, now: Duration) {
         let Some(minion) = &self.minion else { return };
-        if minion.listed < self.woke {
+        if minion.list_requested_at < self.resumed_at {
             return;
         }
-        if minion.fenced != self.session.token || self.session.token == 0 {
+        if minion.fenced_token != self.session.token || self.session.token == 0 {
             return;
         }
         if minion.incarnation.is_draining {
-            self.give_up_starts();
+            self.withdraw_starts();
         }
         let mut free = MAX_CALLS
             .saturating_sub(self.orders.values().filter(|order| order.call.is_some()).count());
@@ -94,17 +95,17 @@
         }
     }
 
-    /// Starts nothing more on a minion that drains: what was never sent is refused, and what has
-    /// had no answer is stopped, so that it can't start later.
-    fn give_up_starts(&mut self) {
+    /// Withdraws the starts for a minion that drains. Those that were never sent are refused, and
+    /// those without an answer become stops, so that they can't be carried out later.
+    fn withdraw_starts(&mut self) {
         let is_open = |order: &Order| matches!(order.kind, Kind::Start(_)) && order.call.is_none();
         let unsent: Vec<Run> = (self.orders.iter())
-            .filter(|(_, order)| is_open(order) && order.tries == 0)
+            .filter(|(_, order)| is_open(order) && order.attempts == 0)
             .map(|(task, order)| task.run(order.number))
             .collect();
         for run in unsent {
             let task = Task::read(&run);
-            self.log(format!("task={task} run={} refused: the minion drains", run.run));
+            self.log(format!("task={task} run={} refused: the minion is draining", run.run));
             self.orders.remove(&task);
             self.verdict(run, Rejection::Draining);
         }
@@ -114,33 +115,36 @@
         }
     }
 
+    /// Sends an order if it is due; returns whether a call was made.
     fn send_order(&mut self, now: Duration, task: &Task) -> bool {
         let token = self.session.token;
-        let deadline = self.deadline(now);
+        let deadline = self.lease_deadline(now);
         let Some(order) = self.orders.get(task) else { return false };
         if order.call.is_some() || now < order.retry_at {
             return false;
         }
         let call = match (&order.kind, deadline) {
-            // Without a lease nothing may be started: the planner may have given the task away.
-            (Kind::Start(_), None) | (Kind::Stop(Some(_)) | Kind::Unsettled(_), _) => return false,
+            // Without a lease nothing may be started: the planner may have placed the task
+            // elsewhere.
+            (Kind::Start(_), None) | (Kind::Stop(Some(_)) | Kind::Refused(_), _) => return false,
             (Kind::Start(start), Some(deadline)) => {
                 Call::Start { start: start.clone(), deadline, token }
             }
             (Kind::Stop(None), _) => Call::Stop { task: task.clone(), number: order.number, token },
         };
         let (number, is_start) = (order.number, matches!(order.kind, Kind::Start(_)));
-        let ticket = self.call(call, options::MINION_TIMEOUT);
+        let ticket = self.call_minion(call, options::MINION_TIMEOUT);
         if let Some(ticket) = ticket.filter(|_| is_start) {
             self.unanswered.sent(now, ticket, task, number);
         }
         if let Some(order) = self.orders.get_mut(task) {
             order.call = ticket;
-            order.tries += 1;
+            order.attempts += 1;
         }
         true
     }
 
+    /// Handles the outcome of a call with an order.
     pub(crate) fn order_answered(&mut self, now: Duration, ticket: Ticket, reply: Reply) {
         let mut orders = self.orders.iter_mut();
         let Some((task, order)) = orders.find(|(_, order)| order.call == Some(ticket)) else {
@@ -148,11 +152,11 @@
         };
         let task = task.clone();
         order.call = None;
-        let (number, tries) = (order.number, order.tries);
+        let (number, attempts) = (order.number, order.attempts);
         let is_start = matches!(order.kind, Kind::Start(_));
         match reply {
             Reply::Done if is_start => {
-                self.log(format!("task={task} run={number} started after {tries} tries"));
+                self.log(format!("task={task} run={number} started after {attempts} tries"));
                 self.orders.remove(&task);
                 self.started(now, &task, number);
             }
@@ -160,52 +164,55 @@
                 order.kind = Kind::Stop(Some(now));
                 self.wants_list = true;
             }
-            // Guards against a task that runs twice: an earlier try without an answer may have
-            // been carried out, and its run may even have ended, so that this one is refused; or
-            // it may still be carried out seconds later, when the task runs elsewhere. A minion
-            // that has refused the run as old starts it no more; any other is told to stop it,
-            // which makes a late start void. What came of it, only a list tells.
+            // Guards against a task that runs twice. An earlier, unanswered attempt may have been
+            // carried out, and its run may even have ended, which is why this attempt is refused.
+            // Or it may still be carried out seconds later, when the task runs elsewhere. A minion
+            // that refuses the run as old can no longer start it; any other one gets a stop, which
+            // invalidates a late start. Only a list shows the outcome.
             Reply::Refused(rejection)
-                if is_start && tries > 1 && rejection != Rejection::Fenced =>
+                if is_start && attempts > 1 && rejection != Rejection::Fenced =>
             {
-                let is_void = rejection == Rejection::Old;
-                order.kind = if is_void { Kind::Unsettled(now) } else { Kind::Stop(None) };
-                self.wants_list |= is_void;
-                self.log(format!("task={task} run={number} refused at try {tries}: {rejection:?}"));
+                let is_invalid = rejection == Rejection::Old;
+                order.kind = if is_invalid { Kind::Refused(now) } else { Kind::Stop(None) };
+                self.wants_list |= is_invalid;
+                self.log(format!(
+                    "task={task} run={number} start refused on try {attempts}: {rejection:?}"
+                ));
             }
             Reply::Refused(rejection) if is_start => {
                 self.log(format!("task={task} run={number} start refused: {rejection:?}"));
                 self.orders.remove(&task);
                 self.verdict(task.run(number), rejection);
             }
-            // A run that is not above one stopped or ended there can't start any more.
+            // The run is not above one that was stopped or ended there, so it can no longer start.
             Reply::Refused(Rejection::Old) => {
                 order.kind = Kind::Stop(Some(now));
                 self.wants_list = true;
                 self.log(format!("task={task} run={number} stop refused: Old"));
             }
-            // Guards against a stop that was never made: the minion has done nothing, so a start
-            // without an answer may still be carried out.
+            // Guards against a stop that was not carried out but counts as resolved. The minion has
+            // changed nothing, so an unanswered start may still be carried out.
             Reply::Refused(rejection) => {
                 let is_unhealthy = rejection == Rejection::Unhealthy;
-                let counted = if is_unhealthy { tries } else { tries.max(2) };
-                order.retry_at = now + options::retry_pause(counted);
+                let counted = if is_unhealthy { attempts } else { attempts.max(2) };
+                order.retry_at = now + options::retry_delay(counted);
                 self.log(format!(
-                    "task={task} run={number} stop refused at try {tries}: {rejection:?}"
+                    "task={task} run={number} stop refused on try {attempts}: {rejection:?}"
                 ));
                 if rejection == Rejection::Fenced {
-                    self.lose_lead(now);
+                    self.lose_leader(now);
                 }
             }
             _ => {
-                order.retry_at = now + options::retry_pause(tries);
-                if tries % 4 == 1 {
-                    self.log(format!("task={task} run={number} no answer to try {tries}"));
+                order.retry_at = now + options::retry_delay(attempts);
+                if attempts % 4 == 1 {
+                    self.log(format!("task={task} run={number} no answer to try {attempts}"));
                 }
             }
         }
     }
 
+    /// Records a run that the minion has started.
     fn started(&mut self, now: Duration, task: &Task, number: u32) {
         let run = task.run(number);
         let running = Running { run: Some(run.clone()), ..Running::default() };
@@ -215,61 +222,70 @@
         self.verdict(run, Rejection::None);
     }
 
+    /// Adds a verdict on a start, which the next poll reports.
     pub(crate) fn verdict(&mut self, run: Run, rejection: Rejection) {
         if rejection != Rejection::None {
-            self.refusals.note(Task::read(&run), run.run, self.sequence + 1);
+            self.refusals.record(Task::read(&run), run.run, self.sequence + 1);
         }
         let verdict = Verdict { run: Some(run), rejection: rejection.into() };
         self.verdicts.push((verdict, None));
-        self.has_news = true;
+        self.has_changes = true;
     }
 
-    /// A list has come: orders whose run is listed as ended, starts whose run is listed as running,
-    /// and orders with an answer whose run is not there at all, are settled.
+    /// Resolves orders by a list that has arrived: those whose run is listed as ended, starts whose
+    /// run is listed as running, and answered orders whose run is not listed at all.
     ///
-    /// Guards against a start that goes on being sent after an earlier try of it was carried out
-    /// late: the minion's next life would carry it out again.
+    /// Guards against a start that is repeated although an earlier attempt was carried out late:
+    /// the next incarnation of the minion would carry it out again.
     ///
-    /// A list may leave out a task that is being stopped, whose room is still taken, so absence
-    /// counts only after the longest stop; of one that is cut off, it shows nothing.
-    pub(crate) fn settle_orders(&mut self, list_sent: Duration, is_cut_off: bool) {
+    /// A list may leave out a task that is being stopped but still occupies its resources, so
+    /// absence counts only after the longest time that a stop may take. Absence from a list that
+    /// is cut off shows nothing.
+    pub(crate) fn resolve_orders(&mut self, list_requested_at: Duration, is_cut_off: bool) {
         let Some(minion) = &self.minion else { return };
         let mut absent = Vec::new();
-        let mut settled = Vec::new();
+        let mut listed = Vec::new();
         for (task, order) in &self.orders {
             let run = task.run(order.number);
             let is_running =
                 minion.running.get(task).is_some_and(|running| running.run.as_ref() == Some(&run));
             let has_ended = minion.ended.values().any(|ended| ended.run.as_ref() == Some(&run));
-            let answered = order.kind.answered();
+            let answered_at = order.kind.answered_at();
             if has_ended || (is_running && order.kind.is_start()) {
-                settled.push((task.clone(), run));
+                listed.push((task.clone(), run));
             } else if !is_running
                 && !is_cut_off
-                && answered.is_some_and(|answered| list_sent >= answered + self.options.stop)
+                && answered_at
+                    .is_some_and(|answered_at| list_requested_at >= answered_at + self.options.stop)
             {
                 absent.push((task.clone(), run));
             }
         }
-        for (task, run) in settled {
+        for (task, run) in listed {
             let order = self.orders.remove(&task);
             if order.is_some_and(|order| matches!(order.kind, Kind::Start(_))) {
-                self.log(format!("task={task} run={} is listed, though unanswered", run.run));
+                self.log(format!(
+                    "task={task} run={} is listed, but its start got no answer",
+                    run.run
+                ));
             }
         }
         for (task, run) in absent {
             self.orders.remove(&task);
-            self.log(format!("task={task} run={} is not there and can't start any more", run.run));
+            self.log(format!("task={task} run={} is not listed and can no longer start", run.run));
             self.verdict(run, Rejection::Old);
         }
     }
 }
 
 impl Machine {
-    /// Whether a list would settle a stop that the minion has answered.
+    /// Whether a list would resolve an order that the minion has answered.
     pub(crate) fn awaits_list(&self, now: Duration) -> bool {
         let is_over = |order: &Order| {
-            order.kind.answered().is_some_and(|answered| now >= answered + self.options.stop)
+            order
+                .kind
+                .answered_at()
+                .is_some_and(|answered_at| now >= answered_at + self.options.stop)
         };
         self.orders.values().any(is_over)
     }
--- a/crates/runner/src/polls.rs
+++ b/crates/runner/src/polls.rs
@@ -1,4 +1,4 @@
-//! Polls: they tell the planner what the minion does and bring its orders.
+//! Polls of the planner: they report the state of the minion and bring the planner's orders.
 
 use std::time::Duration;
 
@@ -7,37 +7,40 @@
 use crate::{
     effect::Effect,
     event::Ticket,
-    machine::{Machine, PollSent},
+    machine::{Machine, PendingPoll},
     options,
     order::{Kind, Order},
 };
 
 impl Machine {
+    /// Sends a poll if one is due. One poll is always in flight; a second one is sent when there
+    /// are changes to report.
     pub(crate) fn drive_polls(&mut self, now: Duration) {
-        let Some(lead) = &self.lead else { return };
+        let Some(leader) = &self.leader else { return };
         let is_idle = self.polls.is_empty();
-        let may_report = self.has_news && self.polls.len() < 2;
-        if !(is_idle || may_report) || now < self.last_poll + options::POLL_PAUSE {
+        let may_report = self.has_changes && self.polls.len() < 2;
+        if !(is_idle || may_report) || now < self.last_poll + options::POLL_DELAY {
             return;
         }
-        let address = lead.address.clone();
-        self.has_news = false;
+        let address = leader.address.clone();
+        self.has_changes = false;
         self.sequence += 1;
         self.last_poll = now;
-        if let Some(farewell) = &mut self.farewell {
-            farewell.told.get_or_insert(self.sequence);
+        if let Some(departure) = &mut self.departure {
+            departure.reported_in.get_or_insert(self.sequence);
         }
         let poll = Box::new(self.report(now));
-        let ticket = self.ticket();
-        self.polls.push(PollSent { ticket, sequence: self.sequence, at: now });
+        let ticket = self.next_ticket();
+        self.polls.push(PendingPoll { ticket, sequence: self.sequence, sent_at: now });
         let oldest = self.polls.iter().map(|poll| poll.sequence).min();
         self.refusals.prune(oldest.unwrap_or(self.sequence));
-        self.out.push(Effect::Poll { ticket, address, poll });
+        self.effects.push(Effect::Poll { ticket, address, poll });
     }
 
+    /// Builds a poll from the state of the agent and its minion.
     fn report(&mut self, now: Duration) -> Poll {
-        for (_, told) in &mut self.verdicts {
-            told.get_or_insert(self.sequence);
+        for (_, reported_in) in &mut self.verdicts {
+            reported_in.get_or_insert(self.sequence);
         }
         let (stops, starts): (Vec<_>, Vec<_>) =
             self.orders.iter().partition(|(_, order)| matches!(order.kind, Kind::Stop(_)));
@@ -53,7 +56,7 @@
             pending: runs(starts),
             stopping: runs(stops),
             unanswered: self.unanswered.report(now),
-            is_leaving: self.is_leaving.is_some(),
+            is_leaving: self.terminating_since.is_some(),
             is_minion_gone: self.is_minion_gone && self.minion.is_none(),
             ..Poll::default()
         };
@@ -64,28 +67,29 @@
             poll.running = running.into_iter().map(|(_, running)| running.clone()).collect();
             poll.ended = minion.ended.values().cloned().collect();
             poll.incarnation = Some(minion.incarnation.clone());
-            poll.fenced_token = minion.fenced;
+            poll.fenced_token = minion.fenced_token;
             poll.lists = minion.lists;
-            let age = now.saturating_sub(minion.listed_at).as_millis();
+            let age = now.saturating_sub(minion.list_received_at).as_millis();
             poll.list_age_ms = u64::try_from(age).unwrap_or(u64::MAX);
         }
         poll
     }
 
-    /// Takes orders.
-    pub(crate) fn ordered(&mut self, now: Duration, ticket: Ticket, orders: Orders) {
+    /// Handles the planner's answer to a poll.
+    pub(crate) fn orders_received(&mut self, now: Duration, ticket: Ticket, orders: Orders) {
         let Some(at) = self.polls.iter().position(|poll| poll.ticket == ticket) else { return };
         let poll = self.polls.remove(at);
         self.failed_polls = 0;
-        let told = self.farewell.and_then(|farewell| farewell.told);
-        if told.is_some_and(|told| poll.sequence >= told) {
+        let reported_in = self.departure.and_then(|departure| departure.reported_in);
+        if reported_in.is_some_and(|reported_in| poll.sequence >= reported_in) {
             self.forget_minion();
         }
         if orders.term < self.session.term {
-            // A planner that has been replaced.
+            // The answering planner has been replaced.
             return;
         }
-        self.verdicts.retain(|(_, told)| told.is_none_or(|told| told > poll.sequence));
+        self.verdicts
+            .retain(|(_, reported_in)| reported_in.is_none_or(|first| first > poll.sequence));
         if !orders.entries.is_empty() {
             self.entries.clone_from(&orders.entries);
         }
@@ -93,15 +97,15 @@
         if orders.token != self.session.token {
             return;
         }
-        // The lease counts from when the poll was sent, so that a late answer extends nothing.
-        let until = poll.at + Duration::from_millis(orders.lease_ms);
+        // The lease counts from the sending of the poll, so that a late answer does not extend it.
+        let until = poll.sent_at + Duration::from_millis(orders.lease_ms);
         self.session.lease_until = self.session.lease_until.max(until);
-        if orders.noted > self.session.noted {
-            self.session.noted = orders.noted;
+        if orders.noted > self.session.acknowledged {
+            self.session.acknowledged = orders.noted;
             if let Some(minion) = &mut self.minion {
                 minion.ended.retain(|number, _| *number > orders.noted);
             }
-            self.next_hold = now;
+            self.next_long_poll = now;
         }
         for run in &orders.stops {
             self.order_stop(run);
@@ -111,52 +115,54 @@
         }
     }
 
-    /// A new token begins a session: the minion has to acknowledge it before anything else, and
-    /// orders of the session before are void.
+    /// Begins a session if the orders carry a new token. The minion has to acknowledge the token
+    /// before anything else, and orders of the previous session are invalid.
     ///
-    /// Guards against orders that were under way when the minion was replaced: they tell which
-    /// ends of the old life are noted, and the new life would forget its own under these numbers.
+    /// Guards against orders that were in flight when the minion was replaced: they say up to which
+    /// number the ends of the old incarnation are acknowledged, and the new one would forget its
+    /// own ends under these numbers.
     fn begin_session(&mut self, orders: &Orders) {
         if self.minion.is_none() {
-            self.offer(orders.token);
+            self.offer_token(orders.token);
             return;
         }
-        if orders.token <= self.session.highest {
+        if orders.token <= self.session.highest_token {
             return;
         }
         let is_new_term = orders.term > self.session.term;
         if is_new_term {
-            self.log(format!("term={} followed", orders.term));
+            self.log(format!("term={} first session begins", orders.term));
         }
         self.session.term = orders.term;
         self.session.token = orders.token;
-        self.session.highest = orders.token;
-        self.session.noted = orders.noted;
+        self.session.highest_token = orders.token;
+        self.session.acknowledged = orders.noted;
         self.drop_orders();
         self.wants_list = true;
-        self.quick_hold = None;
+        self.immediate_long_poll = None;
     }
 
-    /// A token for a minion that has not spoken yet.
+    /// Keeps a token for a minion of which no heartbeat has arrived, and has it probed at once.
     ///
-    /// Guards against a minion that started while this agent's process was away: until its first
-    /// heartbeat it would carry out what the life before was ordered.
-    fn offer(&mut self, token: u64) {
-        if token > self.session.offered {
-            self.session.offered = token;
-            self.look.next = Duration::ZERO;
+    /// Guards against a minion that started while this agent's process was down: until its first
+    /// heartbeat it would carry out late orders that were meant for the previous incarnation.
+    fn offer_token(&mut self, token: u64) {
+        if token > self.session.offered_token {
+            self.session.offered_token = token;
+            self.probe.next = Duration::ZERO;
         }
     }
 
-    /// A poll has failed.
-    pub(crate) fn no_orders(&mut self, now: Duration, ticket: Ticket, is_declined: bool) {
+    /// Handles a poll that got no answer or was declined.
+    pub(crate) fn poll_failed(&mut self, now: Duration, ticket: Ticket, is_declined: bool) {
         let Some(at) = self.polls.iter().position(|poll| poll.ticket == ticket) else { return };
         let poll = self.polls.remove(at);
         self.failed_polls += 1;
-        let was_quick = now < poll.at + options::POLL_TIMEOUT / 2;
-        // A connection that breaks at once says more than one that stays silent for once.
+        let was_quick = now < poll.sent_at + options::POLL_TIMEOUT / 2;
+        // A connection that fails at once is stronger evidence of a lost leader than a single
+        // timeout.
         if is_declined || was_quick || self.failed_polls >= 2 {
-            self.lose_lead(now);
+            self.lose_leader(now);
         }
     }
 }
--- a/crates/runner/src/unanswered.rs
+++ b/crates/runner/src/unanswered.rs
@@ -1,4 +1,4 @@
-//! Starts without an answer, which may still be carried out.
+//! Unanswered starts, which the minion may still carry out.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,76 +9,77 @@
 
 use crate::{event::Ticket, options};
 
-/// One try of a start.
+/// One attempt to start a run.
 #[derive(Clone, Debug)]
-struct Try {
+struct Attempt {
     task: Task,
     number: RunNumber,
-    sent: Duration,
-    /// Nobody waits for its answer any more.
-    is_given_up: bool,
+    sent_at: Duration,
+    /// The agent no longer waits for the answer.
+    is_abandoned: bool,
 }
 
-/// Tries of starts that were meant for minions of one name.
+/// Attempts to start runs on minions of one name.
 ///
-/// Guards against a task that runs twice: whatever has barred such a start, a stop that was
-/// answered, a later run or a token, is known to one life of the minion only. The next life under
-/// the same name may carry it out.
+/// Guards against a task that runs twice: a stop that was answered, a later run or a token
+/// invalidates such a start, but only the incarnation that received it knows of it. The next
+/// incarnation under the same name may carry the start out.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Starts {
     minion: String,
-    tries: BTreeMap<Ticket, Try>,
+    attempts: BTreeMap<Ticket, Attempt>,
 }
 
 impl Starts {
-    /// Begins with a minion; calls that name another one are turned away.
-    pub(crate) fn meet(&mut self, minion: &str) {
+    /// Sets the name of the minion. Attempts for another name are dropped: a minion refuses calls
+    /// that are addressed to another one.
+    pub(crate) fn set_minion(&mut self, minion: &str) {
         if self.minion != minion {
-            self.tries.clear();
+            self.attempts.clear();
             minion.clone_into(&mut self.minion);
         }
     }
 
-    /// A start is sent.
+    /// Records an attempt that is being sent.
     pub(crate) fn sent(&mut self, now: Duration, ticket: Ticket, task: &Task, number: RunNumber) {
-        let sent = Try { task: task.clone(), number, sent: now, is_given_up: false };
-        self.tries.insert(ticket, sent);
+        let attempt = Attempt { task: task.clone(), number, sent_at: now, is_abandoned: false };
+        self.attempts.insert(ticket, attempt);
     }
 
-    /// A call was answered, and won't be carried out later.
+    /// Removes a call that was answered, which therefore won't be carried out later.
     pub(crate) fn answered(&mut self, ticket: Ticket) {
-        self.tries.remove(&ticket);
+        self.attempts.remove(&ticket);
     }
 
-    /// A call has had no answer in time.
-    pub(crate) fn give_up(&mut self, ticket: Ticket) {
-        if let Some(sent) = self.tries.get_mut(&ticket) {
-            sent.is_given_up = true;
+    /// Marks a call that got no answer before its timeout.
+    pub(crate) fn abandon(&mut self, ticket: Ticket) {
+        if let Some(attempt) = self.attempts.get_mut(&ticket) {
+            attempt.is_abandoned = true;
         }
     }
 
-    /// Nobody waits for answers to what was sent so far.
-    pub(crate) fn give_up_all(&mut self) {
-        self.tries.values_mut().for_each(|sent| sent.is_given_up = true);
+    /// Marks all attempts so far: their answers are no longer waited for.
+    pub(crate) fn abandon_all(&mut self) {
+        self.attempts.values_mut().for_each(|attempt| attempt.is_abandoned = true);
     }
 
-    /// Whether something may still be carried out.
+    /// Whether the minion may still carry out an abandoned attempt.
     pub(crate) fn is_open(&self, now: Duration) -> bool {
-        let is_open = |sent: &Try| sent.is_given_up && now < sent.sent + options::LATEST_CALL;
-        self.tries.values().any(is_open)
+        let is_open = |it: &Attempt| it.is_abandoned && now < it.sent_at + options::MAX_CALL_DELAY;
+        self.attempts.values().any(is_open)
     }
 
-    /// Runs whose start may still be carried out, with the age of their latest try.
+    /// Returns the runs whose start may still be carried out, with the age of the latest attempt.
     pub(crate) fn report(&mut self, now: Duration) -> Vec<Unanswered> {
-        self.tries.retain(|_, sent| now < sent.sent + options::LATEST_CALL);
+        self.attempts.retain(|_, attempt| now < attempt.sent_at + options::MAX_CALL_DELAY);
         let mut latest: BTreeMap<(&Task, RunNumber), Duration> = BTreeMap::new();
-        for sent in self.tries.values().filter(|sent| sent.is_given_up) {
-            let known = latest.entry((&sent.task, sent.number)).or_default();
-            *known = sent.sent.max(*known);
+        for attempt in self.attempts.values().filter(|attempt| attempt.is_abandoned) {
+            let known = latest.entry((&attempt.task, attempt.number)).or_default();
+            *known = attempt.sent_at.max(*known);
         }
-        let row = |((task, number), sent): ((&Task, RunNumber), Duration)| {
+        let row = |((task, number), sent_at): ((&Task, RunNumber), Duration)| {
             let run: Run = task.run(number);
-            let age = now.saturating_sub(sent).as_millis();
+            let age = now.saturating_sub(sent_at).as_millis();
             Unanswered { run: Some(run), age_ms: u64::try_from(age).unwrap_or(u64::MAX) }
         };
         latest.into_iter().map(row).collect()
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The minion's lives, its lists, and what the planner is told.
+//! Tests of the minion's incarnations and lists, and of the reports to the planner.
 
 use sapphire_jobs::{Ended, Ending, Lead, Orders, Rejection};
 use sapphire_runner::{
@@ -11,63 +11,64 @@
 
 use crate::harness::{Bench, LEASE, TOKEN, is_start, ms, run, start};
 
-/// A caller's job stays active for ever though nothing of it runs. A task starts and fails while
-/// a hold that was sent before its start is still waiting; the answer lists the end. The agent
-/// told of the same run as ended and as running, so the planner counted the end and took the run
-/// up again, and waited for an end that had already come.
+/// Guards against a job that stays active for ever though nothing of it runs: a task starts and
+/// fails while a long poll that was sent before the start still waits, and the answer lists the
+/// end. If the run were reported both as ended and as running, the planner would record the end,
+/// take the run up again, and wait for an end that has already come.
 #[test]
-fn a_task_that_ended_during_a_hold_is_not_told_as_running() {
+fn a_task_that_ended_during_a_long_poll_is_not_reported_as_running() {
     let mut bench = Bench::fenced();
-    let hold = bench.take(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
-    bench.orders(100, vec![start(1)], Vec::new());
-    let order = bench.take(is_start);
-    bench.tell(110, Event::Minion(order, Reply::Done));
-    bench.tell(120, Event::Tick);
-    bench.orders(300, Vec::new(), Vec::new());
+    let long_poll =
+        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
+    bench.answer_polls(100, vec![start(1)], Vec::new());
+    let order = bench.take_call(is_start);
+    bench.handle(110, Event::Minion(order, Reply::Done));
+    bench.handle(120, Event::Tick);
+    bench.answer_polls(300, Vec::new(), Vec::new());
     let ended = Ended {
         number: 1,
         run: Some(run(1)),
         ending: Ending::Faulty.into(),
         checkpoint: String::new(),
     };
-    bench.list(400, hold, vec![ended]);
-    bench.tell(420, Event::Tick);
+    bench.send_list(400, long_poll, vec![ended]);
+    bench.handle(420, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert_eq!(poll.ended.len(), 1);
-    assert!(poll.running.is_empty(), "told as running: {:?}", poll.running);
+    assert!(poll.running.is_empty(), "reported as running: {:?}", poll.running);
 }
 
-/// A minion that leaves is given new work, which dies with it. The planner's order was under way
-/// when the minion said that it drains; the agent refuses it by itself.
+/// Guards against work that is lost with a minion that shuts down: the planner's order was in
+/// flight when the minion began to drain, so the agent refuses it by itself.
 #[test]
-fn a_draining_minion_is_given_nothing() {
+fn a_draining_minion_gets_no_start() {
     let mut bench = Bench::fenced();
-    bench.beat(50, 1, 2, true);
-    bench.orders(100, vec![start(1)], Vec::new());
-    bench.tell(120, Event::Tick);
+    bench.heartbeat(50, 1, 2, true);
+    bench.answer_polls(100, vec![start(1)], Vec::new());
+    bench.handle(120, Event::Tick);
     assert!(!bench.calls.iter().any(|(_, call)| is_start(call)));
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert_eq!(poll.verdicts[0].rejection(), Rejection::Draining);
 }
 
-/// A heartbeat that was held up by a cut arrives after its minion has crashed and another life
-/// of it has registered. Taken for news, it would bring back the dead one.
+/// Guards against an incarnation that has crashed but counts as running again: its heartbeat was
+/// delayed by a network partition and arrives after that of the next incarnation.
 #[test]
-fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
+fn a_late_heartbeat_of_an_earlier_incarnation_changes_nothing() {
     let mut bench = Bench::fenced();
-    bench.orders(900, Vec::new(), Vec::new());
-    bench.beat(1_000, 9, 1, false);
-    bench.beat(1_100, 1, 5, false);
-    bench.tell(1_200, Event::Tick);
+    bench.answer_polls(900, Vec::new(), Vec::new());
+    bench.heartbeat(1_000, 9, 1, false);
+    bench.heartbeat(1_100, 1, 5, false);
+    bench.handle(1_200, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert_eq!(poll.incarnation.as_ref().map(|minion| minion.born_ms), Some(9));
 }
 
-/// Every waiting job stands still for eleven seconds. Minions were taken away, then everything
-/// lost power; their agents come back and can't say whether a minion runs beside them, so the new
-/// planner waits until its lease would have run out. Where nothing listens, nothing runs.
+/// Guards against jobs that wait for eleven seconds without need: minions were removed, then all
+/// processes lost power. Restarted agents can't know whether a minion runs beside them, so the new
+/// planner would wait until its lease has ended. Where nothing listens, nothing runs.
 #[test]
-fn an_agent_without_a_minion_says_so() {
+fn an_agent_without_a_minion_reports_it() {
     let options = Options {
         name: "a".to_owned(),
         address: "a:1".to_owned(),
@@ -78,58 +79,59 @@
     };
     let mut bench = Bench { machine: Machine::new(options), ..Bench::new() };
     for round in 1..=3 {
-        bench.tell(200 * round, Event::Tick);
-        let look = bench.take(|call| matches!(call, Call::Hold { token: 0, .. }));
-        bench.tell(200 * round + 1, Event::Minion(look, Reply::Gone));
+        bench.handle(200 * round, Event::Tick);
+        let probe = bench.take_call(|call| matches!(call, Call::Hold { token: 0, .. }));
+        bench.handle(200 * round + 1, Event::Minion(probe, Reply::Gone));
     }
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    bench.tell(1_000, Event::Lead(lead));
+    bench.handle(1_000, Event::Lead(lead));
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert!(poll.is_minion_gone);
 }
 
-/// An agent that has just started beside a minion that runs on must not be taken to say that
-/// the minion has ended.
+/// An agent that has just started beside a running minion must not report that the minion has
+/// ended.
 #[test]
-fn an_agent_that_has_not_met_its_minion_says_nothing() {
+fn an_agent_that_has_no_contact_yet_does_not_report_its_minion_as_gone() {
     let mut bench = Bench::new();
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    bench.tell(1_000, Event::Lead(lead));
-    bench.orders(1_500, Vec::new(), Vec::new());
-    bench.tell(1_600, Event::Tick);
+    bench.handle(1_000, Event::Lead(lead));
+    bench.answer_polls(1_500, Vec::new(), Vec::new());
+    bench.handle(1_600, Event::Tick);
     assert!(bench.polls.iter().all(|(_, poll)| !poll.is_minion_gone));
 }
 
-/// A minion that answers nothing costs a connection a call, thousands in half a minute. The first
-/// repetition goes at once, since a single order may be lost; further ones take longer and longer.
+/// Guards against thousands of connections within half a minute: each call to a minion that answers
+/// nothing takes a connection. The first repetition is sent at once, since a single order may be
+/// lost; the delays between further ones grow.
 #[test]
-fn a_silent_minion_is_asked_less_and_less() {
+fn calls_to_a_silent_minion_become_rare() {
     let mut bench = Bench::fenced();
-    bench.orders(100, vec![start(1)], Vec::new());
+    bench.answer_polls(100, vec![start(1)], Vec::new());
     let mut now = 100;
-    let mut tries = 0;
+    let mut attempts = 0;
     while now < 10_100 {
         now += 50;
-        bench.tell(now, Event::Tick);
+        bench.handle(now, Event::Tick);
         while let Some(at) = bench.calls.iter().position(|(_, call)| is_start(call)) {
             let (ticket, _) = bench.calls.remove(at);
-            tries += 1;
-            bench.tell(now, Event::Minion(ticket, Reply::Unknown));
+            attempts += 1;
+            bench.handle(now, Event::Minion(ticket, Reply::Unknown));
         }
     }
-    assert!((3..14).contains(&tries), "{tries} tries in ten seconds");
+    assert!((3..14).contains(&attempts), "{attempts} attempts in ten seconds");
 }
 
-/// A farmer is billed twice. A minion is replaced; orders of the session before, which name the
-/// ends of the old life that are noted, arrive after the new life has been met. Taken up for it,
-/// they made the new life forget its first ends, and the planner, which never heard of them,
-/// started done tasks again.
+/// Guards against done tasks that are started again: a minion is replaced, and orders of the
+/// previous session, which acknowledge ends of the old incarnation, arrive after contact with the
+/// new one. Applied to the new incarnation, they would make it forget its first ends before the
+/// planner has learned of them.
 #[test]
-fn orders_of_an_earlier_session_are_not_taken_up_for_a_new_minion() {
+fn orders_of_an_earlier_session_are_not_applied_to_a_new_incarnation() {
     let mut bench = Bench::fenced();
-    bench.tell(100, Event::Tick);
+    bench.handle(100, Event::Tick);
     let (ticket, _) = bench.polls.last().cloned().expect("the agent has polled");
-    bench.beat(1_000, 9, 1, false);
+    bench.heartbeat(1_000, 9, 1, false);
     bench.calls.clear();
     let orders = Orders {
         term: 7,
@@ -138,8 +140,8 @@
         noted: 57,
         ..Orders::default()
     };
-    bench.tell(1_010, Event::Orders(ticket, Box::new(orders)));
-    bench.tell(1_200, Event::Tick);
+    bench.handle(1_010, Event::Orders(ticket, Box::new(orders)));
+    bench.handle(1_200, Event::Tick);
     assert!(bench.calls.is_empty(), "{:?}", bench.calls);
     let (ticket, _) = bench.polls.last().cloned().expect("the agent has polled");
     let orders = Orders {
@@ -148,19 +150,18 @@
         lease_ms: LEASE.as_millis() as u64,
         ..Orders::default()
     };
-    bench.tell(1_300, Event::Orders(ticket, Box::new(orders)));
-    let hold = bench.take(|call| matches!(call, Call::Hold { noted: 0, .. }));
-    bench.list(1_310, hold, Vec::new());
+    bench.handle(1_300, Event::Orders(ticket, Box::new(orders)));
+    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { noted: 0, .. }));
+    bench.send_list(1_310, long_poll, Vec::new());
 }
 
-/// A task is never started again and nothing says why. Its minion lists its end in a row that
-/// can't be read, and the row was passed over without a word; it comes again with every list, so
-/// it is told once.
+/// Guards against a task that is never started again without any message: the minion lists its end
+/// in a row that can't be read. The row comes again with every list, so it is logged only once.
 #[test]
-fn rows_that_cannot_be_read_are_told_once() {
+fn unreadable_rows_are_logged_once() {
     let mut bench = Bench::fenced();
-    let mut list = |now: u64, unreadable| {
-        let hold = bench.take(|call| matches!(call, Call::Hold { .. }));
+    let mut send_list = |now: u64, unreadable| {
+        let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
         let reply = Reply::Listed {
             born_ms: 1,
             clock: ms(now),
@@ -168,162 +169,168 @@
             ended: Vec::new(),
             unreadable,
         };
-        bench.tell(now, Event::Minion(hold, reply));
-        bench.tell(now + 2_000, Event::Tick);
+        bench.handle(now, Event::Minion(long_poll, reply));
+        bench.handle(now + 2_000, Event::Tick);
     };
-    list(100, 2);
-    list(2_200, 2);
-    list(4_400, 0);
-    let told: Vec<&String> =
-        bench.log.iter().filter(|line| line.contains("can't be read")).collect();
+    send_list(100, 2);
+    send_list(2_200, 2);
+    send_list(4_400, 0);
+    let logged: Vec<&String> =
+        bench.log.iter().filter(|line| line.contains("unreadable rows")).collect();
     let expected =
-        ["2", "0"].map(|rows| format!("lists of the minion: rows that can't be read: {rows}"));
-    assert_eq!(told, expected.iter().collect::<Vec<_>>());
+        ["2", "0"].map(|rows| format!("unreadable rows in the lists of the minion: {rows}"));
+    assert_eq!(logged, expected.iter().collect::<Vec<_>>());
 }
 
-/// Guards against a living minion that is taken as gone: the word that an earlier life of it ends
-/// was held up.
+/// Guards against a live minion that is declared lost: the deregistration of an earlier incarnation
+/// was delayed.
 #[test]
-fn a_minion_that_does_not_drain_is_asked_before_it_is_taken_as_gone() {
+fn a_minion_that_does_not_drain_is_asked_before_it_is_declared_lost() {
     let mut bench = Bench::fenced();
-    bench.tell(100, Event::Leaves("m".to_owned()));
-    bench.orders(150, Vec::new(), Vec::new());
-    bench.tell(200, Event::Tick);
+    bench.handle(100, Event::Leaves("m".to_owned()));
+    bench.answer_polls(150, Vec::new(), Vec::new());
+    bench.handle(200, Event::Tick);
     let incarnation = |bench: &Bench| {
-        let (_, poll) = bench.polls.last().expect("it reports");
+        let (_, poll) = bench.polls.last().expect("the agent has polled");
         poll.incarnation.as_ref().map(|incarnation| incarnation.born_ms)
     };
     assert_eq!(incarnation(&bench), Some(1));
-    bench.beat(250, 1, 2, true);
-    bench.tell(300, Event::Leaves("m".to_owned()));
-    bench.orders(350, Vec::new(), Vec::new());
-    bench.tell(400, Event::Tick);
+    bench.heartbeat(250, 1, 2, true);
+    bench.handle(300, Event::Leaves("m".to_owned()));
+    bench.answer_polls(350, Vec::new(), Vec::new());
+    bench.handle(400, Event::Tick);
     assert_eq!(incarnation(&bench), None);
 }
 
-/// Guards against a living minion that is taken as gone: an answer to a call that was meant for its
-/// life before came late.
+/// Guards against a live minion that is declared lost: an answer to a call that was meant for the
+/// previous incarnation came late.
 #[test]
-fn an_answer_to_a_call_of_an_earlier_life_says_nothing_of_the_next() {
+fn an_answer_to_a_call_to_an_earlier_incarnation_says_nothing_about_the_next() {
     let mut bench = Bench::fenced();
-    let hold = bench.take(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
-    bench.beat(100, 2, 1, false);
-    bench.tell(150, Event::Minion(hold, Reply::OtherLife));
-    bench.tell(200, Event::Tick);
-    bench.orders(250, Vec::new(), Vec::new());
-    bench.tell(300, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("it reports");
+    let long_poll =
+        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
+    bench.heartbeat(100, 2, 1, false);
+    bench.handle(150, Event::Minion(long_poll, Reply::OtherLife));
+    bench.handle(200, Event::Tick);
+    bench.answer_polls(250, Vec::new(), Vec::new());
+    bench.handle(300, Event::Tick);
+    let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert_eq!(poll.incarnation.as_ref().map(|incarnation| incarnation.born_ms), Some(2));
 }
 
-/// Guards against an order for a minion's earlier life that its next one carries out late: until a
-/// planner has begun a session with it, it has seen no token.
+/// Guards against an order for a minion's earlier incarnation that the next one carries out late:
+/// the next one has received no token until a planner begins a session with it.
 #[test]
-fn a_new_life_refuses_earlier_orders_before_a_planner_is_reached() {
+fn a_new_incarnation_is_fenced_before_a_planner_is_reached() {
     let mut bench = Bench::fenced();
     bench.calls.clear();
-    bench.beat(1_000, 2, 1, false);
-    bench.tell(1_050, Event::Tick);
-    let is_bar = |call: &Call| matches!(call, Call::Hold { token, .. } if *token > TOKEN);
-    let bar = bench.take(is_bar);
-    // Without an answer it is asked again, and once it has answered no more.
-    bench.tell(1_400, Event::Minion(bar, Reply::Unknown));
-    bench.tell(2_000, Event::Tick);
-    let bar = bench.take(is_bar);
+    bench.heartbeat(1_000, 2, 1, false);
+    bench.handle(1_050, Event::Tick);
+    let is_fencing = |call: &Call| matches!(call, Call::Hold { token, .. } if *token > TOKEN);
+    let fencing_call = bench.take_call(is_fencing);
+    // The call is repeated until the minion has answered it.
+    bench.handle(1_400, Event::Minion(fencing_call, Reply::Unknown));
+    bench.handle(2_000, Event::Tick);
+    let fencing_call = bench.take_call(is_fencing);
     let listed =
         Reply::Listed { born_ms: 2, clock: ms(9), running: vec![], ended: vec![], unreadable: 0 };
-    bench.tell(2_050, Event::Minion(bar, listed));
-    bench.tell(3_000, Event::Tick);
-    assert!(!bench.calls.iter().any(|(_, call)| is_bar(call)));
+    bench.handle(2_050, Event::Minion(fencing_call, listed));
+    bench.handle(3_000, Event::Tick);
+    assert!(!bench.calls.iter().any(|(_, call)| is_fencing(call)));
 }
 
-/// Guards against work that was done and is done again elsewhere: a minion leaves right after its last
-/// end was listed, and the planner took the run as lost with it.
+/// Guards against work that was done and is done again elsewhere: a minion deregisters right after
+/// it has listed its last end, and the planner would count the run as lost with it.
 #[test]
-fn ends_are_told_before_a_minion_is_gone() {
+fn ends_are_reported_before_a_minion_is_reported_as_gone() {
     let mut bench = Bench::fenced();
-    bench.beat(70, 1, 2, true);
-    let hold = bench.take(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
+    bench.heartbeat(70, 1, 2, true);
+    let long_poll =
+        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
     let ended = Ended {
         number: 1,
         run: Some(run(1)),
         ending: Ending::Done.into(),
         checkpoint: String::new(),
     };
-    bench.list(80, hold, vec![ended]);
-    bench.tell(81, Event::Leaves("m".to_owned()));
-    bench.orders(85, vec![], vec![]);
-    bench.tell(200, Event::Tick);
+    bench.send_list(80, long_poll, vec![ended]);
+    bench.handle(81, Event::Leaves("m".to_owned()));
+    bench.answer_polls(85, vec![], vec![]);
+    bench.handle(200, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
-    assert!(!poll.ended.is_empty() && !poll.is_minion_gone, "its ends come first");
-    bench.orders(300, vec![], vec![]);
-    bench.tell(400, Event::Tick);
+    assert!(!poll.ended.is_empty() && !poll.is_minion_gone, "the ends are reported first");
+    bench.answer_polls(300, vec![], vec![]);
+    bench.handle(400, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert!(poll.is_minion_gone);
 }
 
-/// Guards against a task that runs again after it was done: a hold that waits while its minion
-/// starts again under the same name would have the next life forget its own ends.
+/// Guards against a task that runs again after it was done: a waiting long poll that acknowledges
+/// ends would have the next incarnation forget its own, if the minion restarts under the same name
+/// in the meantime.
 #[test]
-fn ends_are_noted_once_and_by_no_hold_that_waits() {
+fn ends_are_acknowledged_once_and_by_no_long_poll_that_waits() {
     let mut bench = Bench::fenced();
     let ended = Ended { number: 3, run: Some(run(1)), ..Ended::default() };
-    let hold = bench.take(|call| matches!(call, Call::Hold { .. }));
-    bench.list(80, hold, vec![ended]);
-    bench.tell(90, Event::Tick);
+    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    bench.send_list(80, long_poll, vec![ended]);
+    bench.handle(90, Event::Tick);
     let (ticket, _) = bench.polls.pop().expect("the agent has polled");
     let lease_ms = LEASE.as_millis() as u64;
     let orders = Orders { term: 7, token: TOKEN, lease_ms, noted: 3, ..Orders::default() };
-    bench.tell(100, Event::Orders(ticket, Box::new(orders)));
-    let mut holds = Vec::new();
+    bench.handle(100, Event::Orders(ticket, Box::new(orders)));
+    let mut long_polls = Vec::new();
     for time in (110..1_200).step_by(10) {
-        bench.tell(time, Event::Tick);
-        let is_hold = |(_, call): &(_, Call)| matches!(call, Call::Hold { .. });
-        let Some(at) = bench.calls.iter().position(is_hold) else { continue };
+        bench.handle(time, Event::Tick);
+        let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::Hold { .. });
+        let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
         let (ticket, call) = bench.calls.remove(at);
         let Call::Hold { noted, wait, .. } = call else { unreachable!() };
-        let is_first = noted > 0 && holds.iter().all(|(noted, _)| *noted == 0);
-        holds.push((noted, wait.is_zero()));
+        let is_first = noted > 0 && long_polls.iter().all(|(noted, _)| *noted == 0);
+        long_polls.push((noted, wait.is_zero()));
         if is_first {
-            bench.tell(time, Event::Minion(ticket, Reply::Unknown));
+            bench.handle(time, Event::Minion(ticket, Reply::Unknown));
         } else {
-            bench.list(time, ticket, Vec::new());
+            bench.send_list(time, ticket, Vec::new());
         }
     }
-    assert!(holds.iter().all(|(noted, is_prompt)| *noted == 0 || *is_prompt), "{holds:?}");
-    assert_eq!(holds.iter().filter(|(noted, _)| *noted > 0).count(), 2, "{holds:?}");
+    assert!(
+        long_polls.iter().all(|(noted, is_immediate)| *noted == 0 || *is_immediate),
+        "{long_polls:?}"
+    );
+    assert_eq!(long_polls.iter().filter(|(noted, _)| *noted > 0).count(), 2, "{long_polls:?}");
 }
 
-/// Guards against a task that runs again after it was done: an agent that was frozen while its
-/// minion started again would have the new life forget its ends.
+/// Guards against a task that runs again after it was done: an agent that was paused while its
+/// minion restarted would have the new incarnation forget its ends.
 #[test]
-fn an_agent_that_was_frozen_asks_for_a_list_before_it_notes_ends() {
+fn an_agent_that_was_paused_requests_a_list_before_it_acknowledges_ends() {
     let mut bench = Bench::fenced();
     let ended = Ended { number: 3, run: Some(run(1)), ..Ended::default() };
-    let hold = bench.take(|call| matches!(call, Call::Hold { .. }));
-    bench.list(80, hold, vec![ended]);
-    bench.tell(90, Event::Tick);
+    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    bench.send_list(80, long_poll, vec![ended]);
+    bench.handle(90, Event::Tick);
     let (ticket, _) = bench.polls.pop().expect("the agent has polled");
     bench.calls.clear();
     let lease_ms = LEASE.as_millis() as u64;
     let orders = Orders { term: 7, token: TOKEN, lease_ms, noted: 3, ..Orders::default() };
-    bench.tell(2_000, Event::Orders(ticket, Box::new(orders)));
-    let noted_by = |call: &Call| match call {
+    bench.handle(2_000, Event::Orders(ticket, Box::new(orders)));
+    let acknowledged_by = |call: &Call| match call {
         Call::Hold { noted, wait, .. } if wait.is_zero() => Some(*noted),
         _ => None,
     };
-    let holds = [(); 2].map(|()| bench.take(|call| noted_by(call) == Some(0)));
-    assert!(!bench.calls.iter().any(|(_, call)| noted_by(call) == Some(3)));
-    for hold in holds {
-        bench.list(2_001, hold, Vec::new());
+    let long_polls = [(); 2].map(|()| bench.take_call(|call| acknowledged_by(call) == Some(0)));
+    assert!(!bench.calls.iter().any(|(_, call)| acknowledged_by(call) == Some(3)));
+    for long_poll in long_polls {
+        bench.send_list(2_001, long_poll, Vec::new());
     }
-    bench.take(|call| noted_by(call) == Some(3));
+    bench.take_call(|call| acknowledged_by(call) == Some(3));
 }
 
-/// Guards against a minion that started while its agent's process was away, and carries out what
-/// the life before was ordered until its first heartbeat.
+/// Guards against a minion that started while its agent's process was down, and that carries out
+/// late orders for the previous incarnation until its first heartbeat.
 #[test]
-fn a_minion_that_has_not_spoken_is_shown_a_token() {
+fn a_minion_without_a_heartbeat_is_sent_a_token() {
     let mut machine = Machine::new(Options {
         name: "a".to_owned(),
         address: "a:1".to_owned(),
@@ -337,14 +344,14 @@
     let token_of = |effects: &[Effect]| {
         let call = effects.iter().find_map(|effect| match effect {
             Effect::Minion { ticket, life, call: Call::Hold { token, .. }, .. } => {
-                assert_eq!(life, "", "its name is not known");
+                assert_eq!(life, "", "the name of the minion is not known");
                 Some((*ticket, *token))
             }
             _ => None,
         });
-        call.expect("it looks whether a minion is there")
+        call.expect("the agent probes for a minion")
     };
-    let (look, token) = token_of(&effects);
+    let (probe, token) = token_of(&effects);
     assert_eq!(token, 0);
     let list = Reply::Listed {
         born_ms: 1,
@@ -353,7 +360,7 @@
         ended: Vec::new(),
         unreadable: 0,
     };
-    effects.extend(machine.handle(ms(11), Event::Minion(look, list)));
+    effects.extend(machine.handle(ms(11), Event::Minion(probe, list)));
     let poll = effects.iter().find_map(|effect| match effect {
         Effect::Poll { ticket, .. } => Some(*ticket),
         _ => None,
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! An agent, told event by event.
+//! Harness: an agent whose events a test sends one by one.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     Start { run: Some(run(number)), spec: "s".to_owned(), ..Start::default() }
 }
 
-/// An agent with the effects that it has asked for and that are not answered yet.
+/// Test bench: an agent with its polls and calls that are not answered yet, and its log.
 pub(crate) struct Bench {
     pub(crate) machine: Machine,
     pub(crate) polls: Vec<(Ticket, Poll)>,
@@ -48,7 +48,8 @@
         Bench { machine, polls: Vec::new(), calls: Vec::new(), log: Vec::new() }
     }
 
-    pub(crate) fn tell(&mut self, now: u64, event: Event) {
+    /// Has the agent handle an event at a time in ms, and collects the effects.
+    pub(crate) fn handle(&mut self, now: u64, event: Event) {
         for effect in self.machine.handle(ms(now), event) {
             match effect {
                 Effect::Poll { ticket, poll, .. } => self.polls.push((ticket, *poll)),
@@ -59,7 +60,8 @@
         }
     }
 
-    pub(crate) fn beat(&mut self, now: u64, born_ms: u64, sequence: u64, is_draining: bool) {
+    /// Sends a heartbeat of the incarnation that was born at `born_ms`.
+    pub(crate) fn heartbeat(&mut self, now: u64, born_ms: u64, sequence: u64, is_draining: bool) {
         let incarnation = Incarnation {
             id: "m".to_owned(),
             born_ms,
@@ -68,17 +70,17 @@
             is_draining,
             ..Incarnation::default()
         };
-        let beat = Beat { incarnation, address: "m:1".to_owned(), sequence };
-        self.tell(now, Event::Beat(Box::new(beat)));
+        let heartbeat = Beat { incarnation, address: "m:1".to_owned(), sequence };
+        self.handle(now, Event::Beat(Box::new(heartbeat)));
     }
 
-    /// Answers all polls that wait, the latest with orders.
-    pub(crate) fn orders(&mut self, now: u64, starts: Vec<Start>, stops: Vec<Run>) {
-        let mut waiting = std::mem::take(&mut self.polls);
-        let (ticket, _) = waiting.pop().expect("the agent has polled");
-        for (ticket, _) in waiting {
+    /// Answers all pending polls, the latest one with orders.
+    pub(crate) fn answer_polls(&mut self, now: u64, starts: Vec<Start>, stops: Vec<Run>) {
+        let mut pending = std::mem::take(&mut self.polls);
+        let (ticket, _) = pending.pop().expect("the agent has polled");
+        for (ticket, _) in pending {
             let orders = Orders { term: 7, token: TOKEN, ..Orders::default() };
-            self.tell(now, Event::Orders(ticket, Box::new(orders)));
+            self.handle(now, Event::Orders(ticket, Box::new(orders)));
         }
         let orders = Orders {
             term: 7,
@@ -88,32 +90,35 @@
             stops,
             ..Orders::default()
         };
-        self.tell(now, Event::Orders(ticket, Box::new(orders)));
+        self.handle(now, Event::Orders(ticket, Box::new(orders)));
     }
 
-    /// Takes the first call that a test asks for.
-    pub(crate) fn take(&mut self, wanted: impl Fn(&Call) -> bool) -> Ticket {
+    /// Removes the first call that matches, and returns its ticket.
+    pub(crate) fn take_call(&mut self, wanted: impl Fn(&Call) -> bool) -> Ticket {
         let at = self.calls.iter().position(|(_, call)| wanted(call)).expect("the call was made");
         self.calls.remove(at).0
     }
 
-    pub(crate) fn list(&mut self, now: u64, ticket: Ticket, ended: Vec<Ended>) {
+    /// Answers a long poll with a list without running tasks, sent by the incarnation that was born
+    /// at 1.
+    pub(crate) fn send_list(&mut self, now: u64, ticket: Ticket, ended: Vec<Ended>) {
         let reply =
             Reply::Listed { born_ms: 1, clock: ms(now), running: Vec::new(), ended, unreadable: 0 };
-        self.tell(now, Event::Minion(ticket, reply));
+        self.handle(now, Event::Minion(ticket, reply));
     }
 
-    /// An agent whose minion has acknowledged the session's token.
+    /// An agent in a session, whose minion has acknowledged the token.
     pub(crate) fn fenced() -> Self {
         let mut bench = Bench::new();
-        bench.beat(0, 1, 1, false);
+        bench.heartbeat(0, 1, 1, false);
         let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-        bench.tell(10, Event::Lead(lead));
-        bench.orders(20, Vec::new(), Vec::new());
-        let hold = bench.take(|call| matches!(call, Call::Hold { wait, .. } if wait.is_zero()));
-        bench.list(30, hold, Vec::new());
-        bench.tell(40, Event::Tick);
-        bench.orders(60, Vec::new(), Vec::new());
+        bench.handle(10, Event::Lead(lead));
+        bench.answer_polls(20, Vec::new(), Vec::new());
+        let long_poll =
+            bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if wait.is_zero()));
+        bench.send_list(30, long_poll, Vec::new());
+        bench.handle(40, Event::Tick);
+        bench.answer_polls(60, Vec::new(), Vec::new());
         bench
     }
 }
