--- a/crates/proofs/src/jobs/world/agents.rs
+++ b/crates/proofs/src/jobs/world/agents.rs
@@ -17,7 +17,7 @@
             }
             return;
         }
-        if let runner::event::Event::Beat(beat) = &event {
+        if let runner::event::Event::Heartbeat(beat) = &event {
             let minion = &mut self.minions[agent];
             if beat.incarnation.is_draining && beat.incarnation == minion.incarnation {
                 minion.told.get_or_insert(self.now);
--- a/crates/proofs/src/jobs/world/minions.rs
+++ b/crates/proofs/src/jobs/world/minions.rs
@@ -12,7 +12,7 @@
     task::{RunNumber, Task},
 };
 use sapphire_planner::keys;
-use sapphire_runner::{self as runner, minion::Beat};
+use sapphire_runner::{self as runner, minion::Heartbeat};
 use sapphire_store::call::{Call, Reply};
 
 use super::{Action, BEAT, Done, EPOCH, LOCAL, Request, STEP, World};
@@ -241,13 +241,13 @@
     pub(super) fn say(&mut self, agent: usize) {
         let minion = &self.minions[agent];
         if minion.is_up {
-            let beat = Beat {
+            let beat = Heartbeat {
                 incarnation: minion.incarnation.clone(),
                 address: format!("m{agent}"),
                 sequence: self.now.as_micros() as u64,
             };
             let life = self.agents[agent].life;
-            let event = runner::event::Event::Beat(Box::new(beat));
+            let event = runner::event::Event::Heartbeat(Box::new(beat));
             self.after(LOCAL, Action::Runner(agent, life, event));
         }
     }
--- a/crates/runner/src/event.rs
+++ b/crates/runner/src/event.rs
@@ -2,7 +2,7 @@
 
 use sapphire_jobs::{Lead, Orders};
 
-use crate::minion::{Beat, Reply};
+use crate::minion::{Heartbeat, Reply};
 
 /// Number that the agent gives to a call, which the event with its outcome repeats.
 pub type Ticket = u64;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A heartbeat of the minion has arrived.
-    Beat(Box<Beat>),
+    Heartbeat(Box<Heartbeat>),
     /// The minion with this identifier has deregistered, since it is shutting down.
     Leaves(String),
     /// A call to the minion has been answered or has failed.
--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -7,7 +7,7 @@
 use crate::{
     effect::Effect,
     event::{Event, Ticket},
-    minion::{Beat, Call},
+    minion::{Call, Heartbeat},
     options::{self, Options},
     order::Order,
     refusals::Refusals,
@@ -214,7 +214,7 @@
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         self.detect_pause(now);
         match event {
-            Event::Beat(heartbeat) => self.heartbeat_received(now, *heartbeat),
+            Event::Heartbeat(heartbeat) => self.heartbeat_received(now, *heartbeat),
             Event::Leaves(id) => self.deregistered(now, &id),
             Event::Minion(ticket, reply) => self.minion_replied(now, ticket, reply),
             Event::Orders(ticket, orders) => self.orders_received(now, ticket, *orders),
@@ -282,7 +282,7 @@
         Some(ticket)
     }
 
-    fn heartbeat_received(&mut self, now: Duration, heartbeat: Beat) {
+    fn heartbeat_received(&mut self, now: Duration, heartbeat: Heartbeat) {
         if let Some(minion) = &mut self.minion {
             let known = &minion.incarnation;
             let is_same = known.id == heartbeat.incarnation.id
@@ -307,13 +307,13 @@
     }
 
     /// Handles the first heartbeat of a new incarnation of the minion.
-    fn incarnation_appeared(&mut self, now: Duration, heartbeat: Beat) {
+    fn incarnation_appeared(&mut self, now: Duration, heartbeat: Heartbeat) {
         let Incarnation { id, born_ms, .. } = &heartbeat.incarnation;
         self.log(format!(
             "minion={id} born_ms={born_ms} address={} first heartbeat",
             heartbeat.address
         ));
-        let Beat { incarnation, address, sequence } = heartbeat;
+        let Heartbeat { incarnation, address, sequence } = heartbeat;
         self.begin_incarnation(now, incarnation, address, sequence);
     }
 
--- a/crates/runner/src/minion.rs
+++ b/crates/runner/src/minion.rs
@@ -6,7 +6,7 @@
 
 /// A heartbeat, which a minion sends periodically.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The minion's incarnation, with its capacity and state.
     pub incarnation: Incarnation,
     /// Address at which the minion takes calls, ip:port.
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -7,7 +7,7 @@
     effect::Effect,
     event::{Event, Ticket},
     machine::Machine,
-    minion::{Beat, Call, Reply},
+    minion::{Call, Heartbeat, Reply},
     options::Options,
 };
 
@@ -70,8 +70,8 @@
             is_draining,
             ..Incarnation::default()
         };
-        let heartbeat = Beat { incarnation, address: "m:1".to_owned(), sequence };
-        self.handle(now, Event::Beat(Box::new(heartbeat)));
+        let heartbeat = Heartbeat { incarnation, address: "m:1".to_owned(), sequence };
+        self.handle(now, Event::Heartbeat(Box::new(heartbeat)));
     }
 
     /// Answers all pending polls, the latest one with orders.
--- a/crates/runner/tests/orders/mod.rs
+++ b/crates/runner/tests/orders/mod.rs
@@ -5,7 +5,7 @@
 };
 use sapphire_runner::{
     event::Event,
-    minion::{Beat, Call, Reply},
+    minion::{Call, Heartbeat, Reply},
 };
 
 use crate::harness::{Bench, LEASE, TOKEN, is_start, ms, run, start};
@@ -348,8 +348,8 @@
     let first = bench.take_call(is_start);
     bench.handle(400, Event::Minion(first, Reply::Unknown));
     let incarnation = Incarnation { id: "n".to_owned(), born_ms: 2, ..Incarnation::default() };
-    let heartbeat = Beat { incarnation, address: "n:1".to_owned(), sequence: 1 };
-    bench.handle(410, Event::Beat(Box::new(heartbeat)));
+    let heartbeat = Heartbeat { incarnation, address: "n:1".to_owned(), sequence: 1 };
+    bench.handle(410, Event::Heartbeat(Box::new(heartbeat)));
     bench.handle(450, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert_eq!(poll.unanswered, []);
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -110,7 +110,7 @@
         if listener == self.listeners.minion {
             let response = match platform::minion::word(request) {
                 platform::minion::Word::Beat(beat) => {
-                    self.told(cx, Told::Beat(beat));
+                    self.told(cx, Told::Heartbeat(beat));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Leaves(id) => {
