--- a/crates/proofs/src/jobs/minion.rs
+++ b/crates/proofs/src/jobs/minion.rs
@@ -138,7 +138,7 @@
         truth: &BTreeMap<(String, u32), Truth>,
     ) -> Reply {
         let token = match call {
-            Call::Hold { token, .. } | Call::Start { token, .. } | Call::Stop { token, .. } => {
+            Call::LongPoll { token, .. } | Call::Start { token, .. } | Call::Stop { token, .. } => {
                 token
             }
         };
@@ -147,8 +147,8 @@
         }
         self.token = *token;
         match call {
-            Call::Hold { deadline, noted, .. } => {
-                let kept = self.ended.split_off(&noted.saturating_add(1));
+            Call::LongPoll { deadline, acknowledged, .. } => {
+                let kept = self.ended.split_off(&acknowledged.saturating_add(1));
                 self.noted.extend(std::mem::replace(&mut self.ended, kept).into_values());
                 self.extend(now, deadline.unwrap_or_default());
                 self.lists(now, truth)
--- a/crates/proofs/src/jobs/world/minions.rs
+++ b/crates/proofs/src/jobs/world/minions.rs
@@ -36,7 +36,7 @@
             self.reply(&request, Said::OtherLife);
             return;
         }
-        let is_order = !matches!(request.call, Order::Hold { .. });
+        let is_order = !matches!(request.call, Order::LongPoll { .. });
         let is_late = request.life.is_none();
         if is_order && !is_late {
             if self.late_orders > 0.0 && self.rng.random_bool(self.late_orders) {
@@ -53,7 +53,7 @@
                 return;
             }
         }
-        if let Order::Hold { wait, .. } = &request.call
+        if let Order::LongPoll { wait, .. } = &request.call
             && !wait.is_zero()
             && minion.ended.is_empty()
             && self.now + LOCAL * 4 + runner::options::MINION_TIMEOUT < request.until
@@ -105,7 +105,7 @@
     fn note_order(&mut self, request: &Request, outcome: &str) {
         use runner::minion::Call as Order;
         let (verb, task, number, token) = match &request.call {
-            Order::Hold { .. } => return,
+            Order::LongPoll { .. } => return,
             Order::Start { start, token, .. } => {
                 let run = start.run.clone().unwrap_or_default();
                 ("start", Task::read(&run), run.run, *token)
--- a/crates/runner/src/long_polls.rs
+++ b/crates/runner/src/long_polls.rs
@@ -57,7 +57,7 @@
         if !is_needed || token == 0 || self.fencing_call.is_some() || now < self.next_long_poll {
             return;
         }
-        let call = Call::Hold { deadline: None, token, noted: 0, wait: Duration::ZERO };
+        let call = Call::LongPoll { deadline: None, token, acknowledged: 0, wait: Duration::ZERO };
         self.fencing_call = self.call_minion(call, options::MINION_TIMEOUT);
     }
 
@@ -110,10 +110,11 @@
         let is_acknowledging = minion.acknowledged < self.session.acknowledged;
         let is_recent =
             minion.lists > 0 && now < minion.list_received_at + options::ACKNOWLEDGE_WINDOW;
-        let noted = if is_acknowledging && is_recent { self.session.acknowledged } else { 0 };
-        let call = Call::Hold { deadline: self.lease_deadline(now), token, noted, wait };
+        let acknowledged =
+            if is_acknowledging && is_recent { self.session.acknowledged } else { 0 };
+        let call = Call::LongPoll { deadline: self.lease_deadline(now), token, acknowledged, wait };
         let ticket = self.call_minion(call, wait + options::MINION_TIMEOUT)?;
-        Some(LongPoll { ticket, sent_at: now, token, noted })
+        Some(LongPoll { ticket, sent_at: now, token, acknowledged })
     }
 
     /// Probes whether a minion is running while no heartbeat of one has arrived.
@@ -130,7 +131,7 @@
             return;
         }
         let token = self.session.offered_token;
-        let call = Call::Hold { deadline: None, token, noted: 0, wait: Duration::ZERO };
+        let call = Call::LongPoll { deadline: None, token, acknowledged: 0, wait: Duration::ZERO };
         let ticket = self.next_ticket();
         self.probe.ticket = Some(ticket);
         let (address, life) = (self.options.tasks.clone(), String::new());
@@ -285,7 +286,7 @@
         if minion.clock.is_none_or(|(_, read_at)| read_at <= now) {
             minion.clock = Some((clock, now));
         }
-        minion.acknowledged = minion.acknowledged.max(long_poll.noted);
+        minion.acknowledged = minion.acknowledged.max(long_poll.acknowledged);
         if long_poll.token == token && minion.fenced_token < token {
             minion.fenced_token = token;
             self.has_changes = true;
--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -60,7 +60,7 @@
     pub(crate) sent_at: Duration,
     pub(crate) token: u64,
     /// Number up to which it acknowledges ends; 0 if it acknowledges none.
-    pub(crate) noted: u64,
+    pub(crate) acknowledged: u64,
 }
 
 /// State of the probes that find out whether anything listens at the minion's configured address.
--- a/crates/runner/src/minion.rs
+++ b/crates/runner/src/minion.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
     /// A long poll: extends the lease and asks for the lists of running tasks and of ends.
-    Hold {
+    LongPoll {
         /// End of the lease by the minion's clock; none leaves the lease as it is.
         deadline: Option<Duration>,
         /// Fencing token.
         token: u64,
         /// Ends up to this number are acknowledged: the minion need not list them any more.
-        noted: u64,
+        acknowledged: u64,
         /// Longest time for which the minion waits for a run to end before it answers.
         wait: Duration,
     },
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -19,7 +19,7 @@
 fn a_task_that_ended_during_a_long_poll_is_not_reported_as_running() {
     let mut bench = Bench::fenced();
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
+        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     bench.answer_polls(100, vec![start(1)], Vec::new());
     let order = bench.take_call(is_start);
     bench.handle(110, Event::Minion(order, Reply::Done));
@@ -80,7 +80,7 @@
     let mut bench = Bench { machine: Machine::new(options), ..Bench::new() };
     for round in 1..=3 {
         bench.handle(200 * round, Event::Tick);
-        let probe = bench.take_call(|call| matches!(call, Call::Hold { token: 0, .. }));
+        let probe = bench.take_call(|call| matches!(call, Call::LongPoll { token: 0, .. }));
         bench.handle(200 * round + 1, Event::Minion(probe, Reply::Gone));
     }
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
@@ -151,7 +151,7 @@
         ..Orders::default()
     };
     bench.handle(1_300, Event::Orders(ticket, Box::new(orders)));
-    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { noted: 0, .. }));
+    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { acknowledged: 0, .. }));
     bench.send_list(1_310, long_poll, Vec::new());
 }
 
@@ -161,7 +161,7 @@
 fn unreadable_rows_are_logged_once() {
     let mut bench = Bench::fenced();
     let mut send_list = |now: u64, unreadable| {
-        let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+        let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
         let reply = Reply::Listed {
             born_ms: 1,
             clock: ms(now),
@@ -208,7 +208,7 @@
 fn an_answer_to_a_call_to_an_earlier_incarnation_says_nothing_about_the_next() {
     let mut bench = Bench::fenced();
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
+        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     bench.heartbeat(100, 2, 1, false);
     bench.handle(150, Event::Minion(long_poll, Reply::OtherLife));
     bench.handle(200, Event::Tick);
@@ -226,7 +226,7 @@
     bench.calls.clear();
     bench.heartbeat(1_000, 2, 1, false);
     bench.handle(1_050, Event::Tick);
-    let is_fencing = |call: &Call| matches!(call, Call::Hold { token, .. } if *token > TOKEN);
+    let is_fencing = |call: &Call| matches!(call, Call::LongPoll { token, .. } if *token > TOKEN);
     let fencing_call = bench.take_call(is_fencing);
     // The call is repeated until the minion has answered it.
     bench.handle(1_400, Event::Minion(fencing_call, Reply::Unknown));
@@ -246,7 +246,7 @@
     let mut bench = Bench::fenced();
     bench.heartbeat(70, 1, 2, true);
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if !wait.is_zero()));
+        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     let ended = Ended {
         number: 1,
         run: Some(run(1)),
@@ -272,7 +272,7 @@
 fn ends_are_acknowledged_once_and_by_no_long_poll_that_waits() {
     let mut bench = Bench::fenced();
     let ended = Ended { number: 3, run: Some(run(1)), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
     bench.send_list(80, long_poll, vec![ended]);
     bench.handle(90, Event::Tick);
     let (ticket, _) = bench.polls.pop().expect("the agent has polled");
@@ -282,12 +282,13 @@
     let mut long_polls = Vec::new();
     for time in (110..1_200).step_by(10) {
         bench.handle(time, Event::Tick);
-        let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::Hold { .. });
+        let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::LongPoll { .. });
         let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
         let (ticket, call) = bench.calls.remove(at);
-        let Call::Hold { noted, wait, .. } = call else { unreachable!() };
-        let is_first = noted > 0 && long_polls.iter().all(|(noted, _)| *noted == 0);
-        long_polls.push((noted, wait.is_zero()));
+        let Call::LongPoll { acknowledged, wait, .. } = call else { unreachable!() };
+        let is_first =
+            acknowledged > 0 && long_polls.iter().all(|(acknowledged, _)| *acknowledged == 0);
+        long_polls.push((acknowledged, wait.is_zero()));
         if is_first {
             bench.handle(time, Event::Minion(ticket, Reply::Unknown));
         } else {
@@ -295,10 +296,14 @@
         }
     }
     assert!(
-        long_polls.iter().all(|(noted, is_immediate)| *noted == 0 || *is_immediate),
+        long_polls.iter().all(|(acknowledged, is_immediate)| *acknowledged == 0 || *is_immediate),
+        "{long_polls:?}"
+    );
+    assert_eq!(
+        long_polls.iter().filter(|(acknowledged, _)| *acknowledged > 0).count(),
+        2,
         "{long_polls:?}"
     );
-    assert_eq!(long_polls.iter().filter(|(noted, _)| *noted > 0).count(), 2, "{long_polls:?}");
 }
 
 /// Guards against a task that runs again after it was done: an agent that was paused while its
@@ -307,7 +312,7 @@
 fn an_agent_that_was_paused_requests_a_list_before_it_acknowledges_ends() {
     let mut bench = Bench::fenced();
     let ended = Ended { number: 3, run: Some(run(1)), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
     bench.send_list(80, long_poll, vec![ended]);
     bench.handle(90, Event::Tick);
     let (ticket, _) = bench.polls.pop().expect("the agent has polled");
@@ -316,7 +321,7 @@
     let orders = Orders { term: 7, token: TOKEN, lease_ms, noted: 3, ..Orders::default() };
     bench.handle(2_000, Event::Orders(ticket, Box::new(orders)));
     let acknowledged_by = |call: &Call| match call {
-        Call::Hold { noted, wait, .. } if wait.is_zero() => Some(*noted),
+        Call::LongPoll { acknowledged, wait, .. } if wait.is_zero() => Some(*acknowledged),
         _ => None,
     };
     let long_polls = [(); 2].map(|()| bench.take_call(|call| acknowledged_by(call) == Some(0)));
@@ -343,7 +348,7 @@
     let mut effects = machine.handle(ms(10), Event::Lead(lead));
     let token_of = |effects: &[Effect]| {
         let call = effects.iter().find_map(|effect| match effect {
-            Effect::Minion { ticket, life, call: Call::Hold { token, .. }, .. } => {
+            Effect::Minion { ticket, life, call: Call::LongPoll { token, .. }, .. } => {
                 assert_eq!(life, "", "the name of the minion is not known");
                 Some((*ticket, *token))
             }
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -115,7 +115,7 @@
         bench.handle(10, Event::Lead(lead));
         bench.answer_polls(20, Vec::new(), Vec::new());
         let long_poll =
-            bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if wait.is_zero()));
+            bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
         bench.send_list(30, long_poll, Vec::new());
         bench.handle(40, Event::Tick);
         bench.answer_polls(60, Vec::new(), Vec::new());
--- a/crates/runner/tests/orders/mod.rs
+++ b/crates/runner/tests/orders/mod.rs
@@ -41,7 +41,7 @@
     assert!(bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may have run");
     let done =
         Ended { number: 7, run: Some(run(4)), ending: Ending::Done.into(), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
     bench.send_list(500, long_poll, vec![done]);
     bench.handle(550, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
@@ -66,7 +66,7 @@
     bench.handle(460, Event::Minion(stop, Reply::Done));
     let mut reported = Vec::new();
     for time in [470, 900, 1_350, 1_800, 2_250] {
-        let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+        let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
         bench.send_list(time, long_poll, Vec::new());
         bench.handle(time + 10, Event::Tick);
         reported.extend(bench.polls.iter().flat_map(|(_, poll)| poll.verdicts.clone()));
@@ -87,7 +87,7 @@
     // A change of the minion lets the agent poll again while the planner holds the first poll.
     bench.heartbeat(70, 1, 2, false);
     let ended = Ended { number: 1, run: Some(run(9)), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
     bench.send_list(80, long_poll, vec![ended]);
     bench.handle(90, Event::Tick);
     let (late, _) = bench.polls.pop().expect("the agent has polled again");
@@ -172,7 +172,7 @@
     bench.handle(420, Event::Minion(stop, Reply::Done));
     bench.answer_polls(430, Vec::new(), Vec::new());
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if wait.is_zero()));
+        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
     bench.send_list(440, long_poll, Vec::new());
     bench.handle(460, Event::Tick);
     assert!(
@@ -182,7 +182,7 @@
     bench.calls.clear();
     bench.answer_polls(810, Vec::new(), Vec::new());
     bench.handle(830, Event::Tick);
-    let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
     bench.send_list(850, long_poll, Vec::new());
     bench.handle(870, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
@@ -244,7 +244,7 @@
         bench.handle(400, Event::Minion(first, Reply::Unknown));
         let second = bench.take_call(is_start);
         bench.handle(700, Event::Minion(second, Reply::Unknown));
-        let long_poll = bench.take_call(|call| matches!(call, Call::Hold { .. }));
+        let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
         let clock = ms(710);
         let list = Reply::Listed { born_ms: 1, clock, running, ended, unreadable: 0 };
         bench.handle(710, Event::Minion(long_poll, list));
@@ -267,7 +267,7 @@
     bench.handle(2_000, Event::Minion(first, Reply::Unknown));
     assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "another incarnation may run");
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::Hold { wait, .. } if wait.is_zero()));
+        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
     bench.send_list(2_001, long_poll, Vec::new());
     bench.take_call(is_start);
 }
@@ -364,10 +364,10 @@
         let mut longest = 0;
         for time in (from..to).step_by(10) {
             bench.handle(time, Event::Tick);
-            let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::Hold { .. });
+            let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::LongPoll { .. });
             let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
             let (ticket, call) = bench.calls.remove(at);
-            let Call::Hold { wait, .. } = call else { unreachable!() };
+            let Call::LongPoll { wait, .. } = call else { unreachable!() };
             longest = wait.as_millis().max(longest);
             bench.send_list(time, ticket, Vec::new());
         }
@@ -395,7 +395,7 @@
     let other = |number| Ended { number, run: Some(run(9)), ..Ended::default() };
     for time in (600..2_000).step_by(100) {
         bench.handle(time, Event::Tick);
-        let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::Hold { .. });
+        let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::LongPoll { .. });
         let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
         let (ticket, _) = bench.calls.remove(at);
         bench.send_list(time, ticket, (1..=500).map(other).collect());
--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -77,12 +77,12 @@
         let born_ms = minion.incarnation.born_ms;
         let sent = Sent { agent, order, life: platform::life(request), born_ms, at: now };
         match &sent.order {
-            Order::Hold { wait, .. } if !wait.is_zero() && minion.ended.is_empty() => {
+            Order::LongPoll { wait, .. } if !wait.is_zero() && minion.ended.is_empty() => {
                 let until = now + *wait;
                 self.holds.push(Hold { caller, sent, until });
                 return;
             }
-            Order::Hold { .. } => {}
+            Order::LongPoll { .. } => {}
             Order::Start { .. } | Order::Stop { .. } => {
                 let is_due = now >= self.late_from && now < self.late_until;
                 if is_due && self.extra.random_bool(self.late_share) {
@@ -112,7 +112,7 @@
         let run = run.map(|run| (Task::read(&run), run.run));
         let before = run.as_ref().and_then(|(task, _)| Some(minion.active.get(task)?.number));
         let (response, is_done) = platform::obey(minion, now, &sent.order, &self.truth);
-        if !matches!(sent.order, Order::Hold { .. }) {
+        if !matches!(sent.order, Order::LongPoll { .. }) {
             let body = String::from_utf8_lossy(&response.body).into_owned();
             self.note(sent, &format!("{} {body}", response.status));
         }
@@ -130,7 +130,7 @@
     /// Writes a line on an order.
     fn note(&mut self, sent: &Sent, outcome: &str) {
         let (verb, task, number, token) = match &sent.order {
-            Order::Hold { .. } => return,
+            Order::LongPoll { .. } => return,
             Order::Start { start, token, .. } => {
                 let run = start.run.clone().unwrap_or_default();
                 ("start", Task::read(&run), run.run, token)
--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -188,10 +188,10 @@
     let token = number("fencing_token").unwrap_or(0);
     let millis = |name: &str| number(name).map(Duration::from_millis);
     Some(match request.path() {
-        "/hold" => Order::Hold {
+        "/hold" => Order::LongPoll {
             deadline: millis("deadline_ms"),
             token,
-            noted: number("last_seen")?,
+            acknowledged: number("last_seen")?,
             wait: millis("wait_ms").unwrap_or_default(),
         },
         "/run-start" => {
