--- a/crates/proofs/src/jobs/world/agents.rs
+++ b/crates/proofs/src/jobs/world/agents.rs
@@ -42,7 +42,7 @@
                 let Some(entry) = Self::entry_of(&address) else { return };
                 let latency = self.latency(region, self.entries[entry].region);
                 self.after(latency, Action::Poll { entry, agent, life, ticket, poll });
-                let lost = runner::event::Event::NoOrders { ticket, is_declined: false };
+                let lost = runner::event::Event::PollFailed { ticket, is_declined: false };
                 let timeout = runner::options::POLL_TIMEOUT;
                 self.after(timeout, Action::Runner(agent, life, lost));
             }
--- a/crates/proofs/src/jobs/world/entries.rs
+++ b/crates/proofs/src/jobs/world/entries.rs
@@ -157,7 +157,7 @@
             };
             let node: &AgentNode = &self.agents[agent];
             let latency = self.latency(self.entries[entry].region, node.region);
-            let event = runner::event::Event::Lead(lead.clone());
+            let event = runner::event::Event::Leader(lead.clone());
             let life = node.life;
             if !node.is_cut {
                 self.after(latency, Action::Runner(agent, life, event));
@@ -176,7 +176,7 @@
         let latency = self.latency(region, self.agents[agent].region);
         let event = match orders {
             Some(orders) => runner::event::Event::Orders(ticket, Box::new(orders)),
-            None => runner::event::Event::NoOrders { ticket, is_declined: true },
+            None => runner::event::Event::PollFailed { ticket, is_declined: true },
         };
         self.after(latency, Action::Runner(agent, life, event));
     }
@@ -258,7 +258,7 @@
             }
             Asker::Agent(agent) => {
                 let latency = self.latency(node.region, self.agents[agent].region);
-                let event = runner::event::Event::Lead(lead);
+                let event = runner::event::Event::Leader(lead);
                 if !self.agents[agent].is_cut {
                     self.after(latency, Action::Runner(agent, life, event));
                 }
--- a/crates/proofs/src/jobs/world/faults.rs
+++ b/crates/proofs/src/jobs/world/faults.rs
@@ -130,7 +130,7 @@
             return;
         }
         minion.die(&self.truth);
-        let event = runner::event::Event::Leaves(id.to_owned());
+        let event = runner::event::Event::Deregistered(id.to_owned());
         let life = self.agents[agent].life;
         self.after(LOCAL, Action::Runner(agent, life, event));
         self.after(AWAY, Action::StartMinion(agent));
--- a/crates/proofs/src/jobs/world/minions.rs
+++ b/crates/proofs/src/jobs/world/minions.rs
@@ -42,7 +42,7 @@
             if self.late_orders > 0.0 && self.rng.random_bool(self.late_orders) {
                 let late = Duration::from_secs_f64(self.rng.random_range(2.0..12.0));
                 self.note_order(&request, &format!("gets no answer, late by {}", late.as_millis()));
-                let event = runner::event::Event::Minion(ticket, Said::Unknown);
+                let event = runner::event::Event::MinionReply(ticket, Said::Unknown);
                 let life = request.life.unwrap_or_default();
                 self.at(request.until, Action::Runner(agent, life, event));
                 self.after(late, Action::Minion(Box::new(Request { life: None, ..request })));
@@ -87,7 +87,7 @@
 
     fn reply(&mut self, request: &Request, reply: runner::minion::Reply) {
         if let Some(life) = request.life {
-            let event = runner::event::Event::Minion(request.ticket, reply);
+            let event = runner::event::Event::MinionReply(request.ticket, reply);
             self.after(LOCAL, Action::Runner(request.agent, life, event));
         }
     }
--- a/crates/runner/src/event.rs
+++ b/crates/runner/src/event.rs
@@ -13,20 +13,20 @@
     /// A heartbeat of the minion has arrived.
     Heartbeat(Box<Heartbeat>),
     /// The minion with this identifier has deregistered, since it is shutting down.
-    Leaves(String),
+    Deregistered(String),
     /// A call to the minion has been answered or has failed.
-    Minion(Ticket, Reply),
+    MinionReply(Ticket, Reply),
     /// The planner has answered a poll.
     Orders(Ticket, Box<Orders>),
     /// A poll got no answer, or was declined.
-    NoOrders {
+    PollFailed {
         /// Ticket of the poll.
         ticket: Ticket,
         /// Whether an answer came that says that the process there is not the planner.
         is_declined: bool,
     },
     /// The planner or an entry has reported which entry is the leader.
-    Lead(Lead),
+    Leader(Lead),
     /// The process was asked to terminate.
     Terminate,
     /// Time has passed.
--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -215,11 +215,11 @@
         self.detect_pause(now);
         match event {
             Event::Heartbeat(heartbeat) => self.heartbeat_received(now, *heartbeat),
-            Event::Leaves(id) => self.deregistered(now, &id),
-            Event::Minion(ticket, reply) => self.minion_replied(now, ticket, reply),
+            Event::Deregistered(id) => self.deregistered(now, &id),
+            Event::MinionReply(ticket, reply) => self.minion_replied(now, ticket, reply),
             Event::Orders(ticket, orders) => self.orders_received(now, ticket, *orders),
-            Event::NoOrders { ticket, is_declined } => self.poll_failed(now, ticket, is_declined),
-            Event::Lead(leader) => self.follow_leader(leader),
+            Event::PollFailed { ticket, is_declined } => self.poll_failed(now, ticket, is_declined),
+            Event::Leader(leader) => self.follow_leader(leader),
             Event::Terminate => self.terminate(now),
             Event::Tick => {}
         }
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -22,7 +22,7 @@
         bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     bench.answer_polls(100, vec![start(1)], Vec::new());
     let order = bench.take_call(is_start);
-    bench.handle(110, Event::Minion(order, Reply::Done));
+    bench.handle(110, Event::MinionReply(order, Reply::Done));
     bench.handle(120, Event::Tick);
     bench.answer_polls(300, Vec::new(), Vec::new());
     let ended = Ended {
@@ -81,10 +81,10 @@
     for round in 1..=3 {
         bench.handle(200 * round, Event::Tick);
         let probe = bench.take_call(|call| matches!(call, Call::LongPoll { token: 0, .. }));
-        bench.handle(200 * round + 1, Event::Minion(probe, Reply::Gone));
+        bench.handle(200 * round + 1, Event::MinionReply(probe, Reply::Gone));
     }
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    bench.handle(1_000, Event::Lead(lead));
+    bench.handle(1_000, Event::Leader(lead));
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert!(poll.is_minion_gone);
 }
@@ -95,7 +95,7 @@
 fn an_agent_that_has_no_contact_yet_does_not_report_its_minion_as_gone() {
     let mut bench = Bench::new();
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    bench.handle(1_000, Event::Lead(lead));
+    bench.handle(1_000, Event::Leader(lead));
     bench.answer_polls(1_500, Vec::new(), Vec::new());
     bench.handle(1_600, Event::Tick);
     assert!(bench.polls.iter().all(|(_, poll)| !poll.is_minion_gone));
@@ -116,7 +116,7 @@
         while let Some(at) = bench.calls.iter().position(|(_, call)| is_start(call)) {
             let (ticket, _) = bench.calls.remove(at);
             attempts += 1;
-            bench.handle(now, Event::Minion(ticket, Reply::Unknown));
+            bench.handle(now, Event::MinionReply(ticket, Reply::Unknown));
         }
     }
     assert!((3..14).contains(&attempts), "{attempts} attempts in ten seconds");
@@ -169,7 +169,7 @@
             ended: Vec::new(),
             unreadable,
         };
-        bench.handle(now, Event::Minion(long_poll, reply));
+        bench.handle(now, Event::MinionReply(long_poll, reply));
         bench.handle(now + 2_000, Event::Tick);
     };
     send_list(100, 2);
@@ -187,7 +187,7 @@
 #[test]
 fn a_minion_that_does_not_drain_is_asked_before_it_is_declared_lost() {
     let mut bench = Bench::fenced();
-    bench.handle(100, Event::Leaves("m".to_owned()));
+    bench.handle(100, Event::Deregistered("m".to_owned()));
     bench.answer_polls(150, Vec::new(), Vec::new());
     bench.handle(200, Event::Tick);
     let incarnation = |bench: &Bench| {
@@ -196,7 +196,7 @@
     };
     assert_eq!(incarnation(&bench), Some(1));
     bench.heartbeat(250, 1, 2, true);
-    bench.handle(300, Event::Leaves("m".to_owned()));
+    bench.handle(300, Event::Deregistered("m".to_owned()));
     bench.answer_polls(350, Vec::new(), Vec::new());
     bench.handle(400, Event::Tick);
     assert_eq!(incarnation(&bench), None);
@@ -210,7 +210,7 @@
     let long_poll =
         bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     bench.heartbeat(100, 2, 1, false);
-    bench.handle(150, Event::Minion(long_poll, Reply::OtherLife));
+    bench.handle(150, Event::MinionReply(long_poll, Reply::OtherLife));
     bench.handle(200, Event::Tick);
     bench.answer_polls(250, Vec::new(), Vec::new());
     bench.handle(300, Event::Tick);
@@ -229,12 +229,12 @@
     let is_fencing = |call: &Call| matches!(call, Call::LongPoll { token, .. } if *token > TOKEN);
     let fencing_call = bench.take_call(is_fencing);
     // The call is repeated until the minion has answered it.
-    bench.handle(1_400, Event::Minion(fencing_call, Reply::Unknown));
+    bench.handle(1_400, Event::MinionReply(fencing_call, Reply::Unknown));
     bench.handle(2_000, Event::Tick);
     let fencing_call = bench.take_call(is_fencing);
     let listed =
         Reply::Listed { born_ms: 2, clock: ms(9), running: vec![], ended: vec![], unreadable: 0 };
-    bench.handle(2_050, Event::Minion(fencing_call, listed));
+    bench.handle(2_050, Event::MinionReply(fencing_call, listed));
     bench.handle(3_000, Event::Tick);
     assert!(!bench.calls.iter().any(|(_, call)| is_fencing(call)));
 }
@@ -254,7 +254,7 @@
         checkpoint: String::new(),
     };
     bench.send_list(80, long_poll, vec![ended]);
-    bench.handle(81, Event::Leaves("m".to_owned()));
+    bench.handle(81, Event::Deregistered("m".to_owned()));
     bench.answer_polls(85, vec![], vec![]);
     bench.handle(200, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
@@ -290,7 +290,7 @@
             acknowledged > 0 && long_polls.iter().all(|(acknowledged, _)| *acknowledged == 0);
         long_polls.push((acknowledged, wait.is_zero()));
         if is_first {
-            bench.handle(time, Event::Minion(ticket, Reply::Unknown));
+            bench.handle(time, Event::MinionReply(ticket, Reply::Unknown));
         } else {
             bench.send_list(time, ticket, Vec::new());
         }
@@ -345,7 +345,7 @@
         stop: ms(400),
     });
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    let mut effects = machine.handle(ms(10), Event::Lead(lead));
+    let mut effects = machine.handle(ms(10), Event::Leader(lead));
     let token_of = |effects: &[Effect]| {
         let call = effects.iter().find_map(|effect| match effect {
             Effect::Minion { ticket, life, call: Call::LongPoll { token, .. }, .. } => {
@@ -365,7 +365,7 @@
         ended: Vec::new(),
         unreadable: 0,
     };
-    effects.extend(machine.handle(ms(11), Event::Minion(probe, list)));
+    effects.extend(machine.handle(ms(11), Event::MinionReply(probe, list)));
     let poll = effects.iter().find_map(|effect| match effect {
         Effect::Poll { ticket, .. } => Some(*ticket),
         _ => None,
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -104,7 +104,7 @@
     pub(crate) fn send_list(&mut self, now: u64, ticket: Ticket, ended: Vec<Ended>) {
         let reply =
             Reply::Listed { born_ms: 1, clock: ms(now), running: Vec::new(), ended, unreadable: 0 };
-        self.handle(now, Event::Minion(ticket, reply));
+        self.handle(now, Event::MinionReply(ticket, reply));
     }
 
     /// An agent in a session, whose minion has acknowledged the token.
@@ -112,7 +112,7 @@
         let mut bench = Bench::new();
         bench.heartbeat(0, 1, 1, false);
         let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-        bench.handle(10, Event::Lead(lead));
+        bench.handle(10, Event::Leader(lead));
         bench.answer_polls(20, Vec::new(), Vec::new());
         let long_poll =
             bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
--- a/crates/runner/tests/orders/mod.rs
+++ b/crates/runner/tests/orders/mod.rs
@@ -18,7 +18,7 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(3)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     let again = bench.calls.iter().find(|(_, call)| is_start(call)).expect("sent again");
     let Call::Start { start: order, token, .. } = &again.1 else { unreachable!() };
     assert_eq!(order.run, Some(run(3)));
@@ -34,9 +34,9 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(4)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     let again = bench.take_call(is_start);
-    bench.handle(410, Event::Minion(again, Reply::Refused(Rejection::Old)));
+    bench.handle(410, Event::MinionReply(again, Reply::Refused(Rejection::Old)));
     bench.handle(450, Event::Tick);
     assert!(bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may have run");
     let done =
@@ -57,13 +57,13 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(4)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     let again = bench.take_call(is_start);
-    bench.handle(410, Event::Minion(again, Reply::Refused(Rejection::Unhealthy)));
+    bench.handle(410, Event::MinionReply(again, Reply::Refused(Rejection::Unhealthy)));
     bench.handle(450, Event::Tick);
     assert!(bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may run later");
     let stop = bench.take_call(|call| matches!(call, Call::Stop { number: 4, .. }));
-    bench.handle(460, Event::Minion(stop, Reply::Done));
+    bench.handle(460, Event::MinionReply(stop, Reply::Done));
     let mut reported = Vec::new();
     for time in [470, 900, 1_350, 1_800, 2_250] {
         let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
@@ -97,7 +97,7 @@
     };
     bench.handle(100, Event::Orders(early, orders(vec![start(2)])));
     let first = bench.take_call(is_start);
-    bench.handle(101, Event::Minion(first, Reply::Refused(Rejection::Unhealthy)));
+    bench.handle(101, Event::MinionReply(first, Reply::Refused(Rejection::Unhealthy)));
     bench.handle(108, Event::Orders(late, orders(vec![start(2)])));
     bench.handle(120, Event::Tick);
     assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "it was reported as refused");
@@ -115,9 +115,9 @@
     bench.answer_polls(100, Vec::new(), vec![run(4)]);
     let is_stop = |call: &Call| matches!(call, Call::Stop { number: 4, .. });
     let first = bench.take_call(is_stop);
-    bench.handle(110, Event::Minion(first, Reply::Refused(Rejection::Unhealthy)));
+    bench.handle(110, Event::MinionReply(first, Reply::Refused(Rejection::Unhealthy)));
     let again = bench.take_call(is_stop);
-    bench.handle(120, Event::Minion(again, Reply::Done));
+    bench.handle(120, Event::MinionReply(again, Reply::Done));
     bench.handle(130, Event::Tick);
     assert!(!bench.calls.iter().any(|(_, call)| is_stop(call)));
 }
@@ -129,7 +129,7 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(4)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(110, Event::Minion(first, Reply::Refused(Rejection::NoRoom)));
+    bench.handle(110, Event::MinionReply(first, Reply::Refused(Rejection::NoRoom)));
     bench.handle(150, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
     assert_eq!(poll.verdicts.last().map(|verdict| verdict.rejection()), Some(Rejection::NoRoom));
@@ -167,9 +167,9 @@
     let first = bench.take_call(is_start);
     bench.handle(110, Event::Tick);
     bench.answer_polls(150, Vec::new(), vec![run(1)]);
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     let stop = bench.take_call(|call| matches!(call, Call::Stop { .. }));
-    bench.handle(420, Event::Minion(stop, Reply::Done));
+    bench.handle(420, Event::MinionReply(stop, Reply::Done));
     bench.answer_polls(430, Vec::new(), Vec::new());
     let long_poll =
         bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
@@ -197,10 +197,10 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(1)], Vec::new());
     let order = bench.take_call(is_start);
-    bench.handle(400, Event::Minion(order, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(order, Reply::Unknown));
     let again = bench.take_call(is_start);
     bench.heartbeat(450, 1, 2, true);
-    bench.handle(700, Event::Minion(again, Reply::Unknown));
+    bench.handle(700, Event::MinionReply(again, Reply::Unknown));
     for time in (700..3_000).step_by(50) {
         bench.handle(time, Event::Tick);
     }
@@ -221,7 +221,7 @@
     bench.heartbeat(150, 1, 2, true);
     while let Some(at) = bench.calls.iter().position(|(_, call)| is_start(call)) {
         let (ticket, _) = bench.calls.remove(at);
-        bench.handle(200, Event::Minion(ticket, Reply::Done));
+        bench.handle(200, Event::MinionReply(ticket, Reply::Done));
     }
     bench.handle(250, Event::Tick);
     let (_, poll) = bench.polls.last().expect("the agent has polled");
@@ -241,13 +241,13 @@
         let mut bench = Bench::fenced();
         bench.answer_polls(100, vec![start(1)], Vec::new());
         let first = bench.take_call(is_start);
-        bench.handle(400, Event::Minion(first, Reply::Unknown));
+        bench.handle(400, Event::MinionReply(first, Reply::Unknown));
         let second = bench.take_call(is_start);
-        bench.handle(700, Event::Minion(second, Reply::Unknown));
+        bench.handle(700, Event::MinionReply(second, Reply::Unknown));
         let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
         let clock = ms(710);
         let list = Reply::Listed { born_ms: 1, clock, running, ended, unreadable: 0 };
-        bench.handle(710, Event::Minion(long_poll, list));
+        bench.handle(710, Event::MinionReply(long_poll, list));
         for time in (720..4_000).step_by(60) {
             bench.handle(time, Event::Tick);
         }
@@ -264,7 +264,7 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(2)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(2_000, Event::Minion(first, Reply::Unknown));
+    bench.handle(2_000, Event::MinionReply(first, Reply::Unknown));
     assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "another incarnation may run");
     let long_poll =
         bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
@@ -302,7 +302,7 @@
             if let Some(at) = bench.calls.iter().position(|(_, call)| is_stop(call)) {
                 let (ticket, _) = bench.calls.remove(at);
                 sent += 1;
-                bench.handle(time, Event::Minion(ticket, Reply::Refused(rejection)));
+                bench.handle(time, Event::MinionReply(ticket, Reply::Refused(rejection)));
             } else {
                 bench.handle(time, Event::Tick);
             }
@@ -326,11 +326,11 @@
     bench.answer_polls(100, vec![start(1)], Vec::new());
     let first = bench.take_call(is_start);
     assert_eq!(reported(&mut bench, 200), [], "an answer may come");
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     assert_eq!(reported(&mut bench, 480), [(1, 380)]);
     // The run has started, and the earlier attempt is still in flight.
     let second = bench.take_call(is_start);
-    bench.handle(510, Event::Minion(second, Reply::Done));
+    bench.handle(510, Event::MinionReply(second, Reply::Done));
     assert_eq!(reported(&mut bench, 580), [(1, 480)]);
     // The minion restarts under its name, which does not invalidate starts in flight.
     bench.heartbeat(600, 2, 1, false);
@@ -346,7 +346,7 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, vec![start(1)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     let incarnation = Incarnation { id: "n".to_owned(), born_ms: 2, ..Incarnation::default() };
     let heartbeat = Heartbeat { incarnation, address: "n:1".to_owned(), sequence: 1 };
     bench.handle(410, Event::Heartbeat(Box::new(heartbeat)));
@@ -376,9 +376,9 @@
     assert_eq!(longest_wait(&mut bench, 90, 100), 400);
     bench.answer_polls(100, vec![start(1)], Vec::new());
     let first = bench.take_call(is_start);
-    bench.handle(400, Event::Minion(first, Reply::Unknown));
+    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
     let second = bench.take_call(is_start);
-    bench.handle(410, Event::Minion(second, Reply::Done));
+    bench.handle(410, Event::MinionReply(second, Reply::Done));
     longest_wait(&mut bench, 420, 440);
     assert_eq!(longest_wait(&mut bench, 440, 12_080), 20);
     assert_eq!(longest_wait(&mut bench, 12_110, 12_200), 400);
@@ -391,7 +391,7 @@
     let mut bench = Bench::fenced();
     bench.answer_polls(100, Vec::new(), vec![run(1)]);
     let stop = bench.take_call(|call| matches!(call, Call::Stop { .. }));
-    bench.handle(110, Event::Minion(stop, Reply::Done));
+    bench.handle(110, Event::MinionReply(stop, Reply::Done));
     let other = |number| Ended { number, run: Some(run(9)), ..Ended::default() };
     for time in (600..2_000).step_by(100) {
         bench.handle(time, Event::Tick);
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -114,7 +114,7 @@
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Leaves(id) => {
-                    self.told(cx, Told::Leaves(id));
+                    self.told(cx, Told::Deregistered(id));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Unreadable(reason) => {
@@ -127,7 +127,7 @@
             let response = match (request.method.as_str(), request.path()) {
                 ("POST", inner::LEAD) => match Lead::decode(request.body.clone()) {
                     Ok(lead) => {
-                        self.told(cx, Told::Lead(lead));
+                        self.told(cx, Told::Leader(lead));
                         Response::new(200, "")
                     }
                     Err(error) => {
@@ -152,19 +152,19 @@
                 // A time that can't be kept is not worth an error.
                 let _ = self.metrics.time("minion", millis);
                 let reply = platform::minion::reply(&call, result);
-                self.told(cx, Told::Minion(ticket, reply));
+                self.told(cx, Told::MinionReply(ticket, reply));
             }
             Some(Pending::Poll(ticket)) => {
                 let is_declined = result.as_ref().is_ok_and(|it| it.status == inner::DECLINED);
                 let told = match inner::answer::<Orders>(result) {
                     Some(orders) => Told::Orders(ticket, Box::new(orders)),
-                    None => Told::NoOrders { ticket, is_declined },
+                    None => Told::PollFailed { ticket, is_declined },
                 };
                 self.told(cx, told);
             }
             Some(Pending::Lead) => {
                 if let Some(lead) = inner::answer::<Lead>(result) {
-                    self.told(cx, Told::Lead(lead));
+                    self.told(cx, Told::Leader(lead));
                 }
             }
             None => {}
