--- a/crates/proofs/src/jobs/world/agents.rs
+++ b/crates/proofs/src/jobs/world/agents.rs
@@ -32,7 +32,7 @@
         use runner::effect::Effect;
         let (life, region) = (self.agents[agent].life, self.agents[agent].region);
         match effect {
-            Effect::Minion { ticket, call, timeout, life: target, .. } => {
+            Effect::CallMinion { ticket, call, timeout, minion_id: target, .. } => {
                 let (life, sent, until) = (Some(life), self.now, self.now + timeout);
                 let born_ms = self.minions[agent].incarnation.born_ms;
                 let request = Request { agent, life, ticket, call, target, born_ms, sent, until };
@@ -46,7 +46,7 @@
                 let timeout = runner::options::POLL_TIMEOUT;
                 self.after(timeout, Action::Runner(agent, life, lost));
             }
-            Effect::AskLead { address } => {
+            Effect::QueryLeader { address } => {
                 let Some(entry) = Self::entry_of(&address) else { return };
                 if self.agents[agent].is_cut {
                     return;
--- a/crates/runner/src/effect.rs
+++ b/crates/runner/src/effect.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Call the minion.
-    Minion {
+    CallMinion {
         /// Identifies the call in the event with its outcome.
         ticket: Ticket,
         /// Address of the minion, ip:port.
         address: String,
         /// Identifier that the minion must have to answer; empty if any minion may.
-        life: String,
+        minion_id: String,
         /// The call.
         call: Call,
         /// Time after which the call counts as unanswered.
@@ -32,7 +32,7 @@
         poll: Box<Poll>,
     },
     /// Ask an entry which entry is the leader.
-    AskLead {
+    QueryLeader {
         /// Address of the entry to ask, ip:port.
         address: String,
     },
--- a/crates/runner/src/leader.rs
+++ b/crates/runner/src/leader.rs
@@ -47,6 +47,6 @@
         let all: Vec<&String> = all.collect();
         let address = all[self.next_entry % all.len()].clone();
         self.next_entry += 1;
-        self.effects.push(Effect::AskLead { address });
+        self.effects.push(Effect::QueryLeader { address });
     }
 }
--- a/crates/runner/src/long_polls.rs
+++ b/crates/runner/src/long_polls.rs
@@ -134,9 +134,9 @@
         let call = Call::LongPoll { deadline: None, token, acknowledged: 0, wait: Duration::ZERO };
         let ticket = self.next_ticket();
         self.probe.ticket = Some(ticket);
-        let (address, life) = (self.options.tasks.clone(), String::new());
+        let (address, minion_id) = (self.options.tasks.clone(), String::new());
         let timeout = options::MINION_TIMEOUT;
-        self.effects.push(Effect::Minion { ticket, address, life, call, timeout });
+        self.effects.push(Effect::CallMinion { ticket, address, minion_id, call, timeout });
     }
 
     fn probe_answered(&mut self, now: Duration, reply: &Reply) {
--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -277,8 +277,8 @@
         let ticket = self.next_ticket();
         let minion = self.minion.as_ref()?;
         let address = minion.address.clone();
-        let life = minion.incarnation.id.clone();
-        self.effects.push(Effect::Minion { ticket, address, life, call, timeout });
+        let minion_id = minion.incarnation.id.clone();
+        self.effects.push(Effect::CallMinion { ticket, address, minion_id, call, timeout });
         Some(ticket)
     }
 
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -348,8 +348,10 @@
     let mut effects = machine.handle(ms(10), Event::Leader(lead));
     let token_of = |effects: &[Effect]| {
         let call = effects.iter().find_map(|effect| match effect {
-            Effect::Minion { ticket, life, call: Call::LongPoll { token, .. }, .. } => {
-                assert_eq!(life, "", "the name of the minion is not known");
+            Effect::CallMinion {
+                ticket, minion_id, call: Call::LongPoll { token, .. }, ..
+            } => {
+                assert_eq!(minion_id, "", "the name of the minion is not known");
                 Some((*ticket, *token))
             }
             _ => None,
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -53,7 +53,7 @@
         for effect in self.machine.handle(ms(now), event) {
             match effect {
                 Effect::Poll { ticket, poll, .. } => self.polls.push((ticket, *poll)),
-                Effect::Minion { ticket, call, .. } => self.calls.push((ticket, call)),
+                Effect::CallMinion { ticket, call, .. } => self.calls.push((ticket, call)),
                 Effect::Log(text) => self.log.push(text),
                 _ => {}
             }
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -180,9 +180,9 @@
 
     fn effect(&mut self, cx: CX![], now: Duration, effect: Effect) {
         match effect {
-            Effect::Minion { ticket, address, life, call, timeout } => {
+            Effect::CallMinion { ticket, address, minion_id, call, timeout } => {
                 let Ok(target) = address.parse::<SocketAddr>() else { return };
-                let request = platform::minion::request(&life, &call);
+                let request = platform::minion::request(&minion_id, &call);
                 let id = self.net.borrow_mut().call(target, &request, timeout);
                 self.calls.insert(id, Pending::Minion { ticket, call: Box::new(call), sent: now });
             }
@@ -194,7 +194,7 @@
                 let id = inner::call(hub, &address, "POST", inner::POLL, &*poll, timeout);
                 self.calls.extend(id.map(|id| (id, Pending::Poll(ticket))));
             }
-            Effect::AskLead { address } => {
+            Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
                 let timeout = options::LEAD_TIMEOUT;
                 let id = inner::call(hub, &address, "GET", inner::LEAD, &(), timeout);
