--- a/crates/proofs/src/jobs/world/minions.rs
+++ b/crates/proofs/src/jobs/world/minions.rs
@@ -29,11 +29,11 @@
         let Request { agent, ticket, .. } = request;
         let minion = &self.minions[agent];
         if !minion.is_up {
-            self.reply(&request, Said::Gone);
+            self.reply(&request, Said::NotListening);
             return;
         }
         if !request.target.is_empty() && request.target != minion.incarnation.id {
-            self.reply(&request, Said::OtherLife);
+            self.reply(&request, Said::WrongInstance);
             return;
         }
         let is_order = !matches!(request.call, Order::LongPoll { .. });
--- a/crates/runner/src/long_polls.rs
+++ b/crates/runner/src/long_polls.rs
@@ -141,7 +141,7 @@
 
     fn probe_answered(&mut self, now: Duration, reply: &Reply) {
         self.probe.ticket = None;
-        if *reply != Reply::Gone {
+        if *reply != Reply::NotListening {
             self.probe.refused_connections = 0;
             self.probe.next = now + options::ANSWERED_PROBE_DELAY;
             return;
@@ -195,7 +195,7 @@
         let Some(minion) = &mut self.minion else { return };
         match reply {
             Reply::Unknown => {}
-            Reply::Gone => {
+            Reply::NotListening => {
                 minion.refused_connections += 1;
                 if minion.refused_connections >= options::MAX_REFUSED_CONNECTIONS {
                     let id = minion.incarnation.id.clone();
@@ -203,7 +203,7 @@
                     self.forget_minion();
                 }
             }
-            Reply::OtherLife => {
+            Reply::WrongInstance => {
                 let id = minion.incarnation.id.clone();
                 self.log(format!("minion={id} declared lost: another one answers at its address"));
                 self.forget_minion();
@@ -216,7 +216,7 @@
     }
 
     fn long_poll_answered(&mut self, now: Duration, long_poll: LongPoll, reply: Reply) {
-        let is_answered = !matches!(reply, Reply::Unknown | Reply::Gone);
+        let is_answered = !matches!(reply, Reply::Unknown | Reply::NotListening);
         self.unanswered_long_polls = if is_answered { 0 } else { self.unanswered_long_polls + 1 };
         let delay = options::retry_delay(self.unanswered_long_polls);
         self.next_long_poll = now + options::LIST_DELAY.max(delay);
--- a/crates/runner/src/minion.rs
+++ b/crates/runner/src/minion.rs
@@ -71,9 +71,9 @@
     /// The order was refused, for this reason.
     Refused(Rejection),
     /// A minion with another identifier answers at the address.
-    OtherLife,
+    WrongInstance,
     /// Nothing listens at the minion's address.
-    Gone,
+    NotListening,
     /// No answer came, or none that can be read. The call may have been carried out, or may still
     /// be carried out later.
     Unknown,
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -81,7 +81,7 @@
     for round in 1..=3 {
         bench.handle(200 * round, Event::Tick);
         let probe = bench.take_call(|call| matches!(call, Call::LongPoll { token: 0, .. }));
-        bench.handle(200 * round + 1, Event::MinionReply(probe, Reply::Gone));
+        bench.handle(200 * round + 1, Event::MinionReply(probe, Reply::NotListening));
     }
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
     bench.handle(1_000, Event::Leader(lead));
@@ -210,7 +210,7 @@
     let long_poll =
         bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     bench.heartbeat(100, 2, 1, false);
-    bench.handle(150, Event::MinionReply(long_poll, Reply::OtherLife));
+    bench.handle(150, Event::MinionReply(long_poll, Reply::WrongInstance));
     bench.handle(200, Event::Tick);
     bench.answer_polls(250, Vec::new(), Vec::new());
     bench.handle(300, Event::Tick);
