--- a/crates/proofs/src/jobs/world/settings.rs
+++ b/crates/proofs/src/jobs/world/settings.rs
@@ -16,8 +16,8 @@
         address: format!("a{agent}"),
         generation: life,
         entries: (0..3).map(|entry| format!("e{entry}")).collect(),
-        tasks: format!("m{agent}"),
-        stop: Duration::from_millis(400),
+        minion_address: format!("m{agent}"),
+        stop_timeout: Duration::from_millis(400),
     }
 }
 
--- a/crates/runner/src/long_polls.rs
+++ b/crates/runner/src/long_polls.rs
@@ -124,7 +124,7 @@
     /// nothing runs, and a minion that listens there later has started later.
     pub(crate) fn drive_probe(&mut self, now: Duration) {
         let is_known = self.minion.is_some() || self.is_minion_gone;
-        if is_known || self.options.tasks.is_empty() || self.probe.ticket.is_some() {
+        if is_known || self.options.minion_address.is_empty() || self.probe.ticket.is_some() {
             return;
         }
         if now < self.probe.next {
@@ -134,7 +134,7 @@
         let call = Call::LongPoll { deadline: None, token, acknowledged: 0, wait: Duration::ZERO };
         let ticket = self.next_ticket();
         self.probe.ticket = Some(ticket);
-        let (address, minion_id) = (self.options.tasks.clone(), String::new());
+        let (address, minion_id) = (self.options.minion_address.clone(), String::new());
         let timeout = options::MINION_TIMEOUT;
         self.effects.push(Effect::CallMinion { ticket, address, minion_id, call, timeout });
     }
--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -438,8 +438,8 @@
     }
 
     /// Changes the longest time for which a task that is being stopped may go on.
-    pub fn set_stop(&mut self, stop: Duration) {
-        self.options.stop = stop;
+    pub fn set_stop_timeout(&mut self, stop_timeout: Duration) {
+        self.options.stop_timeout = stop_timeout;
     }
 
     /// Number of orders that are not resolved.
--- a/crates/runner/src/options.rs
+++ b/crates/runner/src/options.rs
@@ -15,9 +15,9 @@
     pub entries: Vec<String>,
     /// Address at which the minion takes calls, if it is known before the first heartbeat; else
     /// empty.
-    pub tasks: String,
+    pub minion_address: String,
     /// Longest time for which a task that is being stopped may go on.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
 }
 
 /// Time for which the minion waits for a run to end before it answers a long poll. Each answer
@@ -62,7 +62,7 @@
 /// Interval at which entries are asked for the leader.
 pub const LEADER_QUERY_DELAY: Duration = Duration::from_millis(120);
 /// Timeout of such a query.
-pub const LEAD_TIMEOUT: Duration = Duration::from_millis(400);
+pub const LEADER_QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of refused connections in a row after which the agent declares the minion lost.
 pub const MAX_REFUSED_CONNECTIONS: u32 = 3;
 
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -256,7 +256,7 @@
             } else if !is_running
                 && !is_cut_off
                 && answered_at
-                    .is_some_and(|answered_at| list_requested_at >= answered_at + self.options.stop)
+                    .is_some_and(|time| list_requested_at >= time + self.options.stop_timeout)
             {
                 absent.push((task.clone(), run));
             }
@@ -282,10 +282,7 @@
     /// Whether a list would resolve an order that the minion has answered.
     pub(crate) fn awaits_list(&self, now: Duration) -> bool {
         let is_over = |order: &Order| {
-            order
-                .kind
-                .answered_at()
-                .is_some_and(|answered_at| now >= answered_at + self.options.stop)
+            order.kind.answered_at().is_some_and(|time| now >= time + self.options.stop_timeout)
         };
         self.orders.values().any(is_over)
     }
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -74,8 +74,8 @@
         address: "a:1".to_owned(),
         generation: 2,
         entries: vec!["e:1".to_owned()],
-        tasks: "m:1".to_owned(),
-        stop: ms(400),
+        minion_address: "m:1".to_owned(),
+        stop_timeout: ms(400),
     };
     let mut bench = Bench { machine: Machine::new(options), ..Bench::new() };
     for round in 1..=3 {
@@ -341,8 +341,8 @@
         address: "a:1".to_owned(),
         generation: 2,
         entries: vec!["e:1".to_owned()],
-        tasks: "m:1".to_owned(),
-        stop: ms(400),
+        minion_address: "m:1".to_owned(),
+        stop_timeout: ms(400),
     });
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
     let mut effects = machine.handle(ms(10), Event::Leader(lead));
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -42,8 +42,8 @@
             address: "a:1".to_owned(),
             generation: 1,
             entries: vec!["e:1".to_owned()],
-            tasks: String::new(),
-            stop: ms(400),
+            minion_address: String::new(),
+            stop_timeout: ms(400),
         });
         Bench { machine, polls: Vec::new(), calls: Vec::new(), log: Vec::new() }
     }
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -97,7 +97,7 @@
             reload::Outcome::Same => {}
             reload::Outcome::Changed(settings) => {
                 let bounds = settings.bounds.unwrap_or_default();
-                self.machine.set_stop(Duration::from_millis(bounds.stop_ms));
+                self.machine.set_stop_timeout(Duration::from_millis(bounds.stop_ms));
                 self.levels.info("member", "settings changed; bounds are in force");
             }
             reload::Outcome::Refused(findings) => {
@@ -196,7 +196,7 @@
             }
             Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
-                let timeout = options::LEAD_TIMEOUT;
+                let timeout = options::LEADER_QUERY_TIMEOUT;
                 let id = inner::call(hub, &address, "GET", inner::LEAD, &(), timeout);
                 self.calls.extend(id.map(|id| (id, Pending::Lead)));
             }
@@ -229,8 +229,8 @@
         address: settings.address.clone(),
         generation: u64::try_from(started.unix.as_micros()).unwrap_or(u64::MAX),
         entries: settings.entries.clone(),
-        tasks: settings.tasks.clone(),
-        stop: Duration::from_millis(bounds.stop_ms),
+        minion_address: settings.tasks.clone(),
+        stop_timeout: Duration::from_millis(bounds.stop_ms),
     });
     let role = Role {
         file: reload::File::new(PathBuf::from(path), started.steady),
