--- a/crates/runner/src/machine.rs
+++ b/crates/runner/src/machine.rs
@@ -1,4 +1,4 @@
-//! State of the agent, and the dispatch of events to what handles them.
+//! State of the agent, and the dispatch of its events.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/crates/runner/src/options.rs
+++ b/crates/runner/src/options.rs
@@ -11,7 +11,7 @@
     pub address: String,
     /// Generation of this process, which grows from start to start.
     pub generation: u64,
-    /// Addresses of the entries that are asked for the leader until the planner has sent a list.
+    /// Addresses of entries to ask for the leader, in addition to those that the planner sends.
     pub entries: Vec<String>,
     /// Address at which the minion takes calls, if it is known before the first heartbeat; else
     /// empty.
@@ -41,7 +41,7 @@
 /// Time without an answer from the minion after which the agent reports it to the planner as
 /// silent.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Interval between long polls while the minion lists ends that are not acknowledged: it answers at
+/// Delay between long polls while the minion lists ends that are not acknowledged: it answers at
 /// once then, and polling without a delay would take up the processor.
 pub const LIST_DELAY: Duration = Duration::from_millis(90);
 /// Time after a list in which its ends may be acknowledged to the minion that sent it. The long
@@ -55,11 +55,11 @@
 /// Time between two events from which on the agent assumes that its process was paused: far above
 /// the time between ticks, and below the time in which a minion may end and start again.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
-/// Interval between probes for a minion of which no heartbeat has arrived.
+/// Delay between probes for a minion of which no heartbeat has arrived.
 pub const PROBE_DELAY: Duration = Duration::from_millis(120);
 /// The same after a probe was answered: the heartbeat is expected to follow.
 pub const ANSWERED_PROBE_DELAY: Duration = Duration::from_millis(1_000);
-/// Interval at which entries are asked for the leader.
+/// Delay between queries of entries for the leader.
 pub const LEADER_QUERY_DELAY: Duration = Duration::from_millis(120);
 /// Timeout of such a query.
 pub const LEADER_QUERY_TIMEOUT: Duration = Duration::from_millis(400);
