--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -1,79 +1,79 @@
-//! What callers ask, and what they are answered.
+//! Requests of callers and the answers to them.
 
 use std::time::Duration;
 
 use sapphire_jobs::{Schedule, State, Step};
 
-/// A job as its caller hands it in.
+/// A job as its caller submits it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Handin {
-    /// What its tasks are to do.
+    /// Specification of the work, passed on to the minions unchanged.
     pub spec: String,
-    /// Its steps.
+    /// Steps of the job.
     pub steps: Vec<Step>,
-    /// When it repeats.
+    /// Schedule of a job that repeats.
     pub schedule: Option<Schedule>,
 }
 
-/// What a caller wants.
+/// Operation that a caller requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Hand in a job; the text says why it can't be read.
+    /// Submit a job; the error text says why the request could not be decoded.
     Submit(Result<Handin, String>),
-    /// Know a job's state, or how many jobs wait in a queue.
+    /// Get the state of a job, or the number of pending jobs of a queue.
     Read,
     /// Cancel a job.
     Cancel,
-    /// Something that is not offered.
+    /// An operation that is not supported.
     Other,
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Host that it names.
+    /// Host name in the request, which selects the queue.
     pub host: String,
-    /// Path.
+    /// Path of the URL.
     pub path: String,
-    /// Key of its organisation; empty for none.
+    /// Key of the caller's organisation; empty when the request has none.
     pub key: String,
-    /// How long the caller waits; none when it doesn't say.
+    /// How long the caller waits for the answer, if the request states it.
     pub patience: Option<Duration>,
-    /// What it wants.
+    /// Requested operation.
     pub action: Action,
 }
 
-/// The answer.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The job is accepted and will run.
+    /// The job is durable and will run.
     Accepted,
-    /// The job's state.
+    /// State of the job.
     State(State),
-    /// Jobs of the queue of which nothing has started.
+    /// Number of jobs of the queue of which no task has started.
     Pending(usize),
-    /// The job is cancelled, or was over before.
+    /// The job is cancelled, or had already ended.
     Cancelled,
-    /// No such job.
+    /// The job does not exist.
     NoJob,
-    /// No such queue.
+    /// No queue has this host and path.
     NoQueue,
     /// The key belongs to no organisation.
     NoKey,
-    /// The request can't be read; the text says what is wrong.
+    /// The request is invalid, for the reason given.
     Malformed(String),
-    /// Not offered.
+    /// The operation is not supported.
     NotOffered,
-    /// Nothing was done and nothing will be: the caller may come again after the time given.
+    /// The request was not carried out and will not be: the caller may retry.
     NotDone {
-        /// Why.
+        /// Reason, as sent to the caller.
         reason: &'static str,
-        /// When to come again.
+        /// Time after which the caller should retry.
         after: Duration,
     },
-    /// Whether it was done is not known; the same request may be sent again.
+    /// Whether the request was or will be carried out is unknown; the caller may retry it.
     Unknown {
-        /// When to come again.
+        /// Time after which the caller should retry.
         after: Duration,
     },
 }
--- a/crates/front/src/effect.rs
+++ b/crates/front/src/effect.rs
@@ -1,4 +1,4 @@
-//! What an entry wants done.
+//! Effects: what the caller of [`crate::machine::Machine`] has to carry out.
 
 use std::sync::Arc;
 
@@ -15,39 +15,39 @@
 pub enum Effect {
     /// Answer a caller.
     Answer(Caller, Answer),
-    /// Call the store.
+    /// Send a call to the store.
     Store(Operation, Call),
-    /// Ask the planner for news.
+    /// Poll the leader's feed for changes.
     Feed {
-        /// Where.
+        /// Address of the leader.
         address: String,
-        /// The poll.
+        /// Poll to send.
         poll: FeedPoll,
     },
-    /// Tell the planner what has been written.
+    /// Notify the leader of jobs and cancellations that this entry has written.
     Notice {
-        /// Where.
+        /// Address of the leader.
         address: String,
-        /// What.
+        /// Notice to send.
         notice: Box<Notice>,
     },
-    /// Ask a process who plans.
+    /// Ask another entry who the leader is.
     AskLead {
-        /// Where.
+        /// Address of that entry.
         address: String,
     },
-    /// A configuration is in force.
+    /// Use this configuration from now on.
     Catalog(Arc<Catalog>),
-    /// The configuration in force was proven the newest.
+    /// The active configuration was verified to be the newest.
     Fresh {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// When.
+        /// Time at which no newer configuration existed.
         at: std::time::Duration,
     },
-    /// Begin to plan, with this term.
+    /// Start the planner, with this term.
     Plan(u64),
-    /// Plan no more.
+    /// Stop the planner.
     Resign,
     /// Write a log line.
     Log(String),
--- a/crates/front/src/event.rs
+++ b/crates/front/src/event.rs
@@ -1,4 +1,4 @@
-//! What an entry is told.
+//! Events that an entry handles.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 use crate::answer::Request;
 
-/// A caller that waits for an answer; numbers are given by the I/O.
+/// Identifies a caller that waits for an answer; the I/O layer assigns the numbers.
 pub type Caller = u64;
 
-/// Which call to the store an answer is for.
+/// Purpose of a call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// The configuration, whole.
+    /// Reading the configuration.
     Catalog,
-    /// Whether the configuration is the newest.
+    /// Checking that the active configuration is the newest.
     Proof,
-    /// Changes of the configuration.
+    /// Watching the configuration for changes.
     CatalogWatch,
-    /// The planner's key.
+    /// Reading the leader key.
     Lead,
-    /// Changes of the planner's key.
+    /// Watching the leader key for changes.
     LeadWatch,
-    /// A step towards holding the planner's key.
+    /// Acquiring the leader key or renewing its lease.
     Hold,
-    /// Giving the planner's key back.
+    /// Releasing the leader key.
     Release,
     /// Writing jobs.
     Submit(Vec<JobId>),
@@ -37,37 +37,37 @@
     LookUpProgress(JobId),
     /// Looking up a job's cancellation.
     LookUpCancel(JobId),
-    /// Whether the store can be reached.
+    /// Testing whether the store can be reached directly.
     Probe,
 }
 
 /// One event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller asks.
+    /// A caller has sent a request.
     Request(Caller, Box<Request>),
-    /// A caller has left.
+    /// A caller has disconnected.
     Left(Caller),
-    /// The store has answered a call that was sent at the time given.
+    /// The store has replied to a call, or the call has failed.
     Store {
-        /// Which call.
+        /// Purpose of the call.
         operation: Operation,
-        /// When it was sent.
+        /// When the call was sent.
         sent: Duration,
-        /// The answer.
+        /// Reply of the store.
         reply: Reply,
     },
-    /// The planner has answered a feed poll that was sent at the time given.
+    /// The leader has answered a feed poll, or the poll has failed.
     Feed {
-        /// When it was sent.
+        /// When the poll was sent.
         sent: Duration,
-        /// The answer; none when there is none.
+        /// The feed; none when the poll has failed.
         feed: Option<Box<Feed>>,
     },
-    /// Somebody says who plans.
+    /// Another process has reported who the leader is.
     Lead(Lead),
-    /// The process is asked to end.
+    /// The process is asked to terminate.
     Terminate,
-    /// Time has passed.
+    /// Periodic call, so that time-outs and retries are handled.
     Tick,
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,14 +1,14 @@
-//! An entry: serves callers, keeps a view of jobs and of the configuration, and takes part in
-//! who plans. No I/O and no clocks.
+//! Front of an entry: serves callers, keeps a view of the jobs and of the configuration, and takes
+//! part in the election of the leader, the entry that plans. Does no I/O and reads no clock.
 //!
-//! [`machine::Machine`] takes events and returns effects; its parts each have one duty.
+//! [`machine::Machine`] takes events and returns effects; each private module adds the methods for
+//! one of its responsibilities.
 
 pub mod answer;
 mod callers;
 pub mod effect;
 pub mod event;
 mod freshness;
-mod handin;
 mod leader;
 pub mod machine;
 pub mod options;
@@ -16,3 +16,4 @@
 mod reads;
 mod state;
 pub mod view;
+mod writes;
--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -1,4 +1,4 @@
-//! The entry's state.
+//! The state machine of an entry: dispatches events and store replies to the other modules.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,70 +11,76 @@
     effect::Effect,
     event::{Caller, Event, Operation},
     options::{self, Options},
-    reach::{Reach, Way},
+    reach::{Reachability, Way},
     state::{freshness::Freshness, leadership::Leadership, reads::Reads, writes::Writes},
     view::View,
 };
 
-/// Why a job is looked up.
+/// Why a job is looked up in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wanted {
+pub(crate) enum Purpose {
+    /// The caller requested the job's state.
     State,
+    /// The caller requested its cancellation.
     Cancel,
-    /// Whether a job that is to be turned away was taken in by an earlier try.
-    TurnAway {
-        reason: &'static str,
-        after: Duration,
-    },
+    /// The job is to be rejected, unless an earlier attempt of its caller was accepted.
+    Reject { reason: &'static str, after: Duration },
 }
 
-/// A caller that waits for a look-up.
+/// A caller that waits for the result of a look-up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lookup {
     pub(crate) caller: Caller,
-    pub(crate) wanted: Wanted,
+    pub(crate) purpose: Purpose,
+    /// When the caller is answered that the store can't be reached.
     pub(crate) deadline: Duration,
 }
 
-/// A read for a look-up that is sent again.
+/// A failed read for a look-up that is to be sent again.
 #[derive(Clone, Debug)]
 pub(crate) struct Retry {
     pub(crate) id: JobId,
+    /// When it is due.
     pub(crate) at: Duration,
     pub(crate) operation: Operation,
     pub(crate) call: Call,
 }
 
-/// The entry.
+/// The state machine of an entry.
 pub struct Machine {
     pub(crate) options: Options,
-    pub(crate) fresh: Freshness,
+    pub(crate) freshness: Freshness,
     pub(crate) view: View,
-    pub(crate) reach: Reach,
-    pub(crate) leader: Leadership,
+    pub(crate) reach: Reachability,
+    pub(crate) leadership: Leadership,
     pub(crate) writes: Writes,
+    /// Callers that wait for look-ups, by job.
     pub(crate) lookups: BTreeMap<JobId, Vec<Lookup>>,
-    /// Reads for look-ups that had no answer.
+    /// Reads for look-ups that failed.
     pub(crate) retries: Vec<Retry>,
     pub(crate) reads: Reads,
-    /// Other entries.
+    /// Addresses of all known entries.
     pub(crate) entries: Vec<String>,
+    /// This entry is the leader and runs the planner.
     pub(crate) is_planning: bool,
+    /// Since when the lease on the leader key has expired while this entry still plans.
     pub(crate) stale_since: Option<Duration>,
-    pub(crate) is_leaving: bool,
-    /// Shortest time in which the store has answered.
-    pub(crate) store_time: Duration,
-    pub(crate) out: Vec<Effect>,
+    /// The process has been asked to terminate.
+    pub(crate) is_terminating: bool,
+    /// Shortest time in which the store has answered a read or a freshness check.
+    pub(crate) min_store_latency: Duration,
+    /// Effects that the next return hands to the caller.
+    pub(crate) effects: Vec<Effect>,
 }
 
 impl Machine {
-    /// An entry that knows of nothing.
+    /// Creates an entry that knows neither jobs nor a configuration.
     pub fn new(options: Options) -> Self {
         Machine {
-            fresh: Freshness::default(),
+            freshness: Freshness::default(),
             view: View::default(),
-            reach: Reach::default(),
-            leader: Leadership::new(&options),
+            reach: Reachability::default(),
+            leadership: Leadership::new(&options),
             writes: Writes::default(),
             lookups: BTreeMap::new(),
             retries: Vec::new(),
@@ -82,59 +88,59 @@
             entries: options.entries.clone(),
             is_planning: false,
             stale_since: None,
-            is_leaving: false,
-            store_time: Duration::MAX,
-            out: Vec::new(),
+            is_terminating: false,
+            min_store_latency: Duration::MAX,
+            effects: Vec::new(),
             options,
         }
     }
 
-    /// Takes an event; returns what is to be done.
+    /// Handles an event; returns the effects to carry out, in order.
     pub fn handle(&mut self, now: Moment, event: Event) -> Vec<Effect> {
         let steady = now.steady;
         match event {
             Event::Request(caller, request) => {
                 self.request(steady, now.unix, caller, *request);
             }
-            Event::Left(caller) => self.reads.left(caller),
+            Event::Left(caller) => self.reads.remove_caller(caller),
             Event::Store { operation, sent, reply } => {
-                self.stored(steady, operation, sent, reply);
+                self.store_replied(steady, operation, sent, reply);
             }
-            Event::Feed { sent, feed } => self.fed(steady, sent, feed),
+            Event::Feed { sent, feed } => self.feed_received(steady, sent, feed),
             Event::Lead(lead) => self.follow(lead),
             Event::Terminate => {
-                self.is_leaving = true;
-                self.leave();
+                self.is_terminating = true;
+                self.terminate();
             }
             Event::Tick => self.probe(steady),
         }
-        self.give_up_lookups(steady);
+        self.expire_lookups(steady);
         self.drive_retries(steady);
         self.drive_reads(steady);
         self.drive_freshness(steady);
         self.drive_writes(steady);
         self.drive_leader(steady);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Takes over a changed bound.
+    /// Changes the time within which a revoked caller key must stop being served.
     pub fn set_revocation(&mut self, revocation: Duration) {
         self.options.revocation = revocation;
     }
 
-    fn stored(&mut self, now: Duration, operation: Operation, sent: Duration, reply: Reply) {
+    fn store_replied(&mut self, now: Duration, operation: Operation, sent: Duration, reply: Reply) {
         if matches!(operation, Operation::Catalog | Operation::Proof) {
-            self.store_time = self.store_time.min(now.saturating_sub(sent));
+            self.min_store_latency = self.min_store_latency.min(now.saturating_sub(sent));
         }
         match operation {
             Operation::Catalog => self.catalog_read(now, sent, reply),
-            Operation::Proof => self.proof_read(now, sent, reply),
+            Operation::Proof => self.freshness_checked(now, sent, reply),
             Operation::CatalogWatch => self.catalog_changed(now, reply),
-            Operation::Lead => self.lead_read(now, reply),
-            Operation::LeadWatch => self.lead_changed(now, reply),
-            Operation::Hold => self.hold_answered(now, sent, reply),
-            Operation::Submit(_) | Operation::Cancel(_) => self.written(now, &operation, reply),
-            Operation::LookUp(id) => self.looked_up(now, id, reply),
+            Operation::Lead => self.leader_read(now, reply),
+            Operation::LeadWatch => self.leader_changed(now, reply),
+            Operation::Hold => self.lease_replied(now, sent, reply),
+            Operation::Submit(_) | Operation::Cancel(_) => self.write_ended(now, &operation, reply),
+            Operation::LookUp(id) => self.job_looked_up(now, id, reply),
             Operation::LookUpProgress(id) => self.progress_looked_up(now, id, reply),
             Operation::LookUpCancel(id) => self.cancel_looked_up(now, id, reply),
             Operation::Probe | Operation::Release => {}
@@ -144,14 +150,14 @@
     fn probe(&mut self, now: Duration) {
         if self.reach.is_probe_due(now) {
             let call = Call::Get { key: keys::FLEET.to_owned() };
-            self.out.push(Effect::Store(Operation::Probe, call));
+            self.effects.push(Effect::Store(Operation::Probe, call));
         }
     }
 
-    /// The way that a call to the store takes. Watches and probes go straight: a watch through
-    /// another entry would hold a connection there.
-    pub fn way(&mut self, is_straight_only: bool) -> Way {
-        if is_straight_only {
+    /// Chooses the way of the next call to the store. Watches and probes are always direct: a
+    /// relayed watch would occupy a connection of the relaying entry.
+    pub fn way(&mut self, is_direct_only: bool) -> Way {
+        if is_direct_only {
             return Way::Straight;
         }
         let own = &self.options.address;
@@ -160,36 +166,40 @@
         self.reach.way(&others)
     }
 
-    /// Notes how a call to the store ended that was no watch.
+    /// Records whether a call to the store that was not a watch got an answer.
     pub fn note_call(&mut self, now: Duration, way: &Way, is_answered: bool) -> Vec<Effect> {
-        self.reach.note_any(now, is_answered);
+        self.reach.record_any(now, is_answered);
         if let Way::Through(entry) = way {
-            self.reach.note_through(entry, is_answered);
+            self.reach.record_relayed(entry, is_answered);
         }
-        if *way == Way::Straight && self.reach.note(now, is_answered) {
-            let verb = if is_answered { "reached again" } else { "lost; asking through entries" };
-            self.log(format!("store {verb}"));
+        if *way == Way::Straight && self.reach.record_direct(now, is_answered) {
+            let change = if is_answered {
+                "reachable again"
+            } else {
+                "unreachable; relaying calls through other entries"
+            };
+            self.log(format!("store {change}"));
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Whether callers should be sent here.
+    /// Whether callers should be directed to this entry.
     pub fn is_ready(&self, now: Duration) -> bool {
-        let most = self.options.revocation.min(options::READY_PROOF);
-        let has_proof = self.fresh.age(now).is_some_and(|age| age < most);
-        !self.is_leaving && has_proof && self.view.is_fed()
+        let max_age = self.options.revocation.min(options::READY_MAX_AGE);
+        let has_proof = self.freshness.age(now).is_some_and(|age| age < max_age);
+        !self.is_terminating && has_proof && self.view.has_feed()
     }
 
-    /// Whether anybody waits for an answer.
+    /// Whether no caller waits for an answer.
     pub fn is_idle(&self) -> bool {
         self.writes.len() == 0 && self.lookups.is_empty() && self.reads.is_empty()
     }
 
     pub(crate) fn answer(&mut self, caller: Caller, answer: Answer) {
-        self.out.push(Effect::Answer(caller, answer));
+        self.effects.push(Effect::Answer(caller, answer));
     }
 
     pub(crate) fn log(&mut self, text: String) {
-        self.out.push(Effect::Log(text));
+        self.effects.push(Effect::Log(text));
     }
 }
--- a/crates/front/src/options.rs
+++ b/crates/front/src/options.rs
@@ -1,93 +1,98 @@
-//! Settings of an entry.
+//! Options and time constants of an entry.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use sapphire_jobs::catalog::Catalog;
 
-/// Reads a configuration as the operators wrote it; the text says why it can't be read.
+/// Decodes a configuration as the operators wrote it; the error text says why that failed.
 pub type ReadCatalog = fn(&Bytes, u64) -> Result<Catalog, String>;
 
-/// Names, bounds and where things are.
+/// Identity, addresses and bounds of an entry.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// Where it listens for other processes.
+    /// Address at which the entry listens for other processes.
     pub address: String,
-    /// Start of its process.
+    /// Start time of the process in microseconds of Unix time; distinguishes it from earlier
+    /// processes of the same entry.
     pub generation: u64,
-    /// Other entries, to begin with.
+    /// Addresses of the entries that are known at startup.
     pub entries: Vec<String>,
     /// Key of the configuration in the store.
     pub catalog_key: String,
-    /// Reads the configuration.
+    /// Decodes the configuration.
     pub read_catalog: ReadCatalog,
-    /// Time after which a key that was taken away must not be served any more.
+    /// Time within which a revoked caller key must stop being served.
     pub revocation: Duration,
-    /// Lease of the planner's key.
+    /// Duration of the lease on the leader key.
     pub lead_lease: Duration,
-    /// Seed of what is drawn at random.
+    /// Seed of random choices.
     pub seed: u64,
 }
 
-/// Margin of the proof that a key still holds, for timers that fire late.
+/// Safety margin below [`Options::revocation`], for timers that fire late.
 pub const REVOCATION_MARGIN: Duration = Duration::from_millis(400);
-/// Age of the proof up to which a caller may be told that its queue or key does not exist.
-pub const REFUSAL_AGE: Duration = Duration::from_millis(2_000);
-/// Age of the proof up to which callers should be sent to an entry. Above the age at which it
-/// proves its configuration by itself, with a store that is slow: an entry that is cut off alone
-/// is left by new callers 2.5 s sooner than when its keys have to be refused.
-pub const READY_PROOF: Duration = Duration::from_millis(3_000);
-/// How often the planner's entry proves its configuration; the others hear of it from there.
-pub const PROOF_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Age of the proof at which an entry proves its configuration by itself.
-pub const OWN_PROOF_AGE: Duration = Duration::from_millis(2_200);
-/// Pause before a failed read of the configuration is repeated.
+/// Age of the last freshness check up to which a caller may be told that its queue or key does not
+/// exist.
+pub const REFUSAL_MAX_AGE: Duration = Duration::from_millis(2_000);
+/// Age of the last freshness check up to which the entry reports itself ready. It is above
+/// [`FOLLOWER_CHECK_AGE`] plus the time of a slow store. New callers avoid an isolated entry 2.5 s
+/// before it has to reject caller keys.
+pub const READY_MAX_AGE: Duration = Duration::from_millis(3_000);
+/// How often the leader checks that its configuration is the newest; the feed passes the result on
+/// to the other entries.
+pub const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Age of the last freshness check at which an entry other than the leader makes its own.
+pub const FOLLOWER_CHECK_AGE: Duration = Duration::from_millis(2_200);
+/// Delay before a failed read of the configuration is repeated.
 pub const CATALOG_RETRY: Duration = Duration::from_millis(150);
-/// Pause before a configuration that can't be read is asked for again.
-pub const UNREADABLE_RETRY: Duration = Duration::from_secs(5);
-/// Time for a watch under way to bring a configuration that others have already.
+/// Delay before a configuration that could not be decoded is read again.
+pub const INVALID_CATALOG_RETRY: Duration = Duration::from_secs(5);
+/// Time allowed for a watch in progress to deliver a configuration that other entries already have,
+/// before the entry reads it itself.
 pub const WATCH_GRACE: Duration = Duration::from_millis(500);
-/// How long the store is asked to hold a watch: below the time for which it keeps its history, so
-/// that the next watch can go on from the answer.
+/// How long the store is asked to keep a watch open: less than the time for which it keeps its
+/// history, so that the next watch can resume at the revision of the reply.
 pub const WATCH_WAIT: Duration = Duration::from_secs(12);
-/// Pause before a watch that failed is begun again.
+/// Delay before a failed watch is restarted.
 pub const WATCH_RETRY: Duration = Duration::from_millis(300);
-/// How long an entry tries to have a job or a cancellation written. Longer than a store that is
-/// slow takes and than one try each straight and through another entry; shorter than callers
-/// wait, so that they can go elsewhere in time.
-pub const WRITE_PATIENCE: Duration = Duration::from_millis(1_050);
-/// Share of the time that a caller still waits for which its write is tried. Under half, so that
-/// it has time for another entry; with all of it, callers were held to their end in vain.
-pub const HELD_SHARE: f64 = 0.45;
-/// Pause before a write that failed is sent again.
+/// Longest time for which an entry tries to write a job or a cancellation. Longer than a slow store
+/// takes and than one direct and one relayed attempt take together; shorter than the timeout of
+/// callers, so that they can try another entry in time.
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(1_050);
+/// Share of a caller's timeout that is spent on its write. Less than half, so that the caller has
+/// time to try another entry: with all of it, callers waited in vain until their timeout.
+pub const WRITE_TIMEOUT_SHARE: f64 = 0.45;
+/// Delay before a failed write is sent again.
 pub const WRITE_RETRY: Duration = Duration::from_millis(60);
-/// Pause before a read for a look-up that failed is sent again.
-pub const LOOK_UP_RETRY: Duration = Duration::from_millis(60);
-/// Time after which a write without an answer is certainly carried out or lost. The store may
-/// carry one out 6 s late, and a cut of a few seconds may hold it up before.
-pub const UNSETTLED: Duration = Duration::from_secs(15);
-/// Jobs in one write, two rows each of the 32 that the store takes.
-pub const WRITE_JOBS: usize = 12;
-/// Writes under way at once, so that one without an answer doesn't hold up the others.
-pub const WRITES: usize = 8;
-/// How long a caller that asks for the state of a running job waits for its end. What an end
-/// takes from the minion's list to the entries: 45 ms to the planner, 10 to 50 ms in the store,
-/// 20 ms to the entries; below the 200 ms in which a process that is told to end answers.
-pub const READ_HOLD: Duration = Duration::from_millis(150);
-/// Callers that wait so at most; others are told at once how their job stands.
-pub const READS: usize = 1_000;
-/// When a caller is to come again after the store could not be reached. Outages last seconds;
-/// another entry may reach the store at once.
-pub const COME_AGAIN: Duration = Duration::from_millis(1_000);
-/// Pause before the planner is told again of a job that it does not show yet.
-pub const TELL_AGAIN: Duration = Duration::from_millis(350);
-/// Time for the planner's answer to a feed poll.
+/// Delay before a failed read for a look-up is sent again.
+pub const LOOKUP_RETRY: Duration = Duration::from_millis(60);
+/// Time after which a write without an answer has either been applied or is lost. The store may
+/// apply a write 6 s late, and a network partition of a few seconds may delay it before that.
+pub const WRITE_RESOLUTION_TIME: Duration = Duration::from_secs(15);
+/// Most jobs in one write: two rows for each job, of the 32 rows that the store accepts.
+pub const MAX_JOBS_PER_WRITE: usize = 12;
+/// Number of writes in flight at which no further jobs are sent. More than one, so that a write
+/// without an answer does not delay the others. Cancellations are sent regardless.
+pub const MAX_WRITES_IN_FLIGHT: usize = 8;
+/// How long a request for the state of a running job waits for the job's end. The end of a run
+/// takes 45 ms from the minion's list to the leader, 10 to 50 ms in the store and 20 ms from there
+/// to the entries. Below the 200 ms within which a terminating process answers its callers.
+pub const READ_WAIT: Duration = Duration::from_millis(150);
+/// Most requests that wait for a job's end; further ones are answered at once.
+pub const MAX_WAITING_READS: usize = 1_000;
+/// Time after which a caller should retry when the store could not be reached. Outages last
+/// seconds, but another entry may reach the store at once.
+pub const RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Delay before the leader is notified again of a job that its feed does not list yet.
+pub const NOTICE_RETRY: Duration = Duration::from_millis(350);
+/// Timeout of a feed poll.
 pub const FEED_TIMEOUT: Duration = Duration::from_millis(1_400);
-/// Age of the feed up to which it counts as fresh.
-pub const FEED_FRESH: Duration = Duration::from_millis(2_000);
-/// Pause before somebody is asked who plans.
-pub const LEAD_PAUSE: Duration = Duration::from_millis(150);
-/// Pause before the planner's key is read while nobody is known to hold it.
-pub const LEAD_READ: Duration = Duration::from_millis(700);
+/// Age of the latest feed up to which it counts as fresh.
+pub const FEED_MAX_AGE: Duration = Duration::from_millis(2_000);
+/// Delay before another entry is asked who the leader is, and after a failed feed poll.
+pub const LEADER_QUERY_DELAY: Duration = Duration::from_millis(150);
+/// Delay between reads of the leader key while no leader is known.
+pub const LEADER_READ_INTERVAL: Duration = Duration::from_millis(700);
--- a/crates/front/src/reach.rs
+++ b/crates/front/src/reach.rs
@@ -1,113 +1,120 @@
-//! Which way calls to the store go: straight, or through another entry.
+//! Chooses whether calls to the store are made directly or relayed by another entry.
 //!
-//! Often only some processes are cut off from the store, or turned away by it. Their callers
-//! are served all the same when another entry makes the calls for them.
+//! Often only some of the processes are partitioned from the store or rejected by it. Such an entry
+//! can still serve its callers when another entry makes the calls on its behalf.
 
 use std::time::Duration;
 
-/// Failures in a row after which calls go through another entry.
-const FAILURES: u32 = 1;
-/// How often the straight way is tried while it fails.
-const PROBE: Duration = Duration::from_millis(600);
+/// Consecutive failures of direct calls after which calls are relayed by another entry.
+const DIRECT_FAILURES: u32 = 1;
+/// How often direct calls are tried while they fail.
+const PROBE_INTERVAL: Duration = Duration::from_millis(600);
 
-/// A way to the store.
+/// Way of a call to the store. Log lines contain the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Straight.
+    /// Directly to the store.
     Straight,
-    /// Through the process at this address.
+    /// Relayed by the entry at this address.
     Through(String),
 }
 
-/// Calls in a row without an answer, whichever way, after which the store counts as away.
-const AWAY_FAILURES: u32 = 3;
-/// Least time without an answer for that: above what a store that is slow takes.
-const AWAY: Duration = Duration::from_millis(600);
+/// Consecutive calls without an answer, direct or relayed, after which the store may count as
+/// unreachable.
+const UNREACHABLE_FAILURES: u32 = 3;
+/// Shortest time without any answer after which the store counts as unreachable: longer than a slow
+/// store takes to answer.
+const UNREACHABLE_TIME: Duration = Duration::from_millis(600);
 
-/// What is known of the ways.
+/// Outcomes of the recent calls to the store.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
-    /// Straight calls in a row without an answer.
+pub struct Reachability {
+    /// Consecutive direct calls without an answer.
+    direct_failures: u32,
+    /// Consecutive calls without an answer, direct or relayed.
     failures: u32,
-    /// Calls in a row without an answer, whichever way.
-    all_failures: u32,
-    /// When a call was last answered, whichever way.
+    /// When a call was last answered, direct or relayed.
     answered: Option<Duration>,
-    /// When the store last answered a straight call.
-    reached: Option<Duration>,
+    /// When a direct call was last answered.
+    direct_answered: Option<Duration>,
+    /// Earliest time of the next probe.
     probe_at: Duration,
-    next: usize,
-    /// The entry through which a call was answered last, and none has failed since.
-    proven: Option<String>,
+    /// Counter that selects the relaying entries in turn.
+    next_relay: usize,
+    /// Entry whose last relayed call was answered.
+    last_relay: Option<String>,
 }
 
-impl Reach {
-    /// The way for a call: through the entry that answered last, else through the others in turn.
+impl Reachability {
+    /// Way of the next call: direct, else relayed by the entry that last relayed successfully, else
+    /// by the other entries in turn.
     ///
-    /// Guards against calls that wait out their time at an entry that is cut off as well: with
-    /// three of eight cut off, an acceptance took 1.1 to 2.4 s.
+    /// Without this preference, calls repeatedly timed out at entries that are partitioned too:
+    /// with three of eight entries partitioned, an acceptance took 1.1 to 2.4 s.
     pub fn way(&mut self, others: &[String]) -> Way {
-        if self.failures < FAILURES || others.is_empty() {
+        if self.direct_failures < DIRECT_FAILURES || others.is_empty() {
             return Way::Straight;
         }
-        if let Some(proven) = self.proven.as_ref().filter(|proven| others.contains(proven)) {
-            return Way::Through(proven.clone());
+        if let Some(relay) = self.last_relay.as_ref().filter(|relay| others.contains(relay)) {
+            return Way::Through(relay.clone());
         }
-        self.next += 1;
-        Way::Through(others[self.next % others.len()].clone())
+        self.next_relay += 1;
+        Way::Through(others[self.next_relay % others.len()].clone())
     }
 
-    /// Notes how a straight call ended; returns whether that changed the way.
-    pub fn note(&mut self, now: Duration, is_answered: bool) -> bool {
-        let was_straight = self.failures < FAILURES;
+    /// Records whether a direct call was answered; returns whether this switches between direct and
+    /// relayed calls.
+    pub fn record_direct(&mut self, now: Duration, is_answered: bool) -> bool {
+        let was_direct = self.direct_failures < DIRECT_FAILURES;
         if is_answered {
-            self.failures = 0;
-            self.reached = Some(now);
+            self.direct_failures = 0;
+            self.direct_answered = Some(now);
         } else {
-            self.failures += 1;
-            self.probe_at = self.probe_at.max(now + PROBE);
+            self.direct_failures += 1;
+            self.probe_at = self.probe_at.max(now + PROBE_INTERVAL);
         }
-        was_straight != (self.failures < FAILURES)
+        was_direct != (self.direct_failures < DIRECT_FAILURES)
     }
 
-    /// Notes how a call through another entry ended.
-    pub fn note_through(&mut self, entry: &str, is_answered: bool) {
+    /// Records whether a call that this entry relayed was answered.
+    pub fn record_relayed(&mut self, entry: &str, is_answered: bool) {
         if is_answered {
-            self.proven = Some(entry.to_owned());
-        } else if self.proven.as_deref() == Some(entry) {
-            self.proven = None;
+            self.last_relay = Some(entry.to_owned());
+        } else if self.last_relay.as_deref() == Some(entry) {
+            self.last_relay = None;
         }
     }
 
-    /// Notes how a call ended, whichever way it took.
-    pub fn note_any(&mut self, now: Duration, is_answered: bool) {
+    /// Records whether a call was answered, direct or relayed.
+    pub fn record_any(&mut self, now: Duration, is_answered: bool) {
         if is_answered {
-            self.all_failures = 0;
+            self.failures = 0;
             self.answered = Some(now);
         } else {
-            self.all_failures += 1;
+            self.failures += 1;
         }
     }
 
-    /// Whether the store can't be reached in any way.
+    /// Whether the store can be reached neither directly nor through other entries.
     ///
-    /// Guards against callers that wait out their time for a write that can't succeed: they are
-    /// told at once, and when to come back.
-    pub fn is_away(&self, now: Duration) -> bool {
-        let is_recent = self.answered.is_some_and(|answered| now < answered + AWAY);
-        self.all_failures >= AWAY_FAILURES && !is_recent
+    /// Callers then get an answer at once, with the time after which to retry, instead of waiting
+    /// for a write that can't succeed.
+    pub fn is_unreachable(&self, now: Duration) -> bool {
+        let is_recent = self.answered.is_some_and(|answered| now < answered + UNREACHABLE_TIME);
+        self.failures >= UNREACHABLE_FAILURES && !is_recent
     }
 
-    /// Time since a straight call was last answered.
+    /// Time since a direct call was last answered.
     pub fn age(&self, now: Duration) -> Duration {
-        self.reached.map_or(Duration::MAX, |reached| now.saturating_sub(reached))
+        self.direct_answered
+            .map_or(Duration::MAX, |direct_answered| now.saturating_sub(direct_answered))
     }
 
-    /// Whether the straight way is to be tried now.
+    /// Whether a direct call should be tried now as a probe.
     pub fn is_probe_due(&mut self, now: Duration) -> bool {
-        let is_due = self.failures >= FAILURES && now >= self.probe_at;
+        let is_due = self.direct_failures >= DIRECT_FAILURES && now >= self.probe_at;
         if is_due {
-            self.probe_at = now + PROBE;
+            self.probe_at = now + PROBE_INTERVAL;
         }
         is_due
     }
--- a/crates/front/src/reads.rs
+++ b/crates/front/src/reads.rs
@@ -1,33 +1,34 @@
-//! Callers that ask for the state of a job that runs.
+//! Requests for the state of a running job, which wait briefly for the job's end.
 
 use std::time::Duration;
 
 use sapphire_jobs::State;
 
-use crate::{answer::Answer, event::Caller, machine::Machine, options, state::reads::Read};
+use crate::{answer::Answer, event::Caller, machine::Machine, options, state::reads::WaitingRead};
 
 impl Machine {
-    /// Answers with a job's state; for one that runs, a moment later unless it ends before.
+    /// Answers with a job's state. For a running job the answer waits until the job ends, for at
+    /// most [`options::READ_WAIT`].
     pub(crate) fn read_state(&mut self, now: Duration, caller: Caller, id: &str, state: State) {
-        let is_full = self.reads.waiting.len() >= options::READS;
-        if state != State::Active || self.is_leaving || is_full {
+        let is_full = self.reads.waiting.len() >= options::MAX_WAITING_READS;
+        if state != State::Active || self.is_terminating || is_full {
             self.answer(caller, Answer::State(state));
             return;
         }
-        let until = now + options::READ_HOLD;
-        self.reads.waiting.push(Read { caller, id: id.to_owned(), until });
+        let deadline = now + options::READ_WAIT;
+        self.reads.waiting.push(WaitingRead { caller, id: id.to_owned(), deadline });
     }
 
-    /// Answers callers whose job is not running any more, or who have waited long enough.
+    /// Answers callers whose job is no longer running or whose deadline has passed.
     pub(crate) fn drive_reads(&mut self, now: Duration) {
         let mut answers = Vec::new();
-        let (view, is_leaving) = (&self.view, self.is_leaving);
+        let (view, is_terminating) = (&self.view, self.is_terminating);
         self.reads.waiting.retain(|read| {
             let state = view.state(&read.id);
-            if state == Some(State::Active) && now < read.until && !is_leaving {
+            if state == Some(State::Active) && now < read.deadline && !is_terminating {
                 return true;
             }
-            // A job that has gone from the view was over long ago; its caller asks again.
+            // A job that is no longer in the view ended long ago; its caller will ask again.
             answers.push((read.caller, state.unwrap_or(State::Active)));
             false
         });
--- a/crates/front/src/state/freshness.rs
+++ b/crates/front/src/state/freshness.rs
@@ -1,41 +1,48 @@
-//! What is known of the configuration.
+//! State of the active configuration and of the checks that it is the newest.
 
 use std::{sync::Arc, time::Duration};
 
 use sapphire_jobs::catalog::Catalog;
 
-/// What is known of the configuration.
+/// The active configuration and what is known about newer ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Freshness {
+    /// Active configuration; none until the first one was read.
     pub(crate) catalog: Option<Arc<Catalog>>,
-    /// Time at which there was certainly none newer than this configuration.
-    pub(crate) proven: Option<Duration>,
+    /// Latest time at which no configuration newer than the active one existed, as verified.
+    pub(crate) verified_at: Option<Duration>,
+    /// A read of the configuration is in progress.
     pub(crate) is_reading: bool,
-    pub(crate) is_proving: bool,
+    /// A freshness check is in progress.
+    pub(crate) is_checking: bool,
+    /// A watch of the configuration is in progress.
     pub(crate) is_watching: bool,
+    /// Earliest time of the next read.
     pub(crate) read_at: Duration,
-    pub(crate) prove_at: Duration,
+    /// Earliest time of the next freshness check.
+    pub(crate) check_at: Duration,
+    /// Earliest time of the next watch.
     pub(crate) watch_at: Duration,
-    /// Highest revision that is known to exist.
-    pub(crate) heard: u64,
-    /// Revision of the store up to which changes of the configuration are known; 0 when only a
-    /// proof can tell.
-    pub(crate) watched: u64,
+    /// Highest revision of the configuration that is known to exist.
+    pub(crate) newest: u64,
+    /// Revision of the store up to which all changes of the configuration are known, where the next
+    /// watch starts; 0 when only a freshness check can find it out.
+    pub(crate) watch_from: u64,
 }
 
 impl Freshness {
-    /// Revision of the configuration in force; 0 for none.
+    /// Revision of the active configuration; 0 for none.
     pub(crate) fn revision(&self) -> u64 {
         self.catalog.as_ref().map_or(0, |catalog| catalog.revision)
     }
 
-    /// Whether there is a newer one than that in force.
+    /// Whether a configuration newer than the active one is known to exist.
     pub(crate) fn is_behind(&self) -> bool {
-        self.heard > self.revision()
+        self.newest > self.revision()
     }
 
-    /// Age of the proof.
+    /// Time since the active configuration was last verified to be the newest.
     pub(crate) fn age(&self, now: Duration) -> Option<Duration> {
-        self.proven.map(|proven| now.saturating_sub(proven))
+        self.verified_at.map(|verified_at| now.saturating_sub(verified_at))
     }
 }
--- a/crates/front/src/state/leadership.rs
+++ b/crates/front/src/state/leadership.rs
@@ -1,4 +1,4 @@
-//! What is known of the planner.
+//! State of the leader election.
 
 use std::time::Duration;
 
@@ -10,30 +10,45 @@
 
 use crate::options;
 
-/// Longest time by which an entry waits before it reaches for the key, so that not all do so at
-/// once.
-const STAGGER: Duration = Duration::from_millis(20);
+/// Longest random delay before an entry tries to acquire a leader key without a holder, so that the
+/// entries don't all try at once.
+const MAX_STAGGER: Duration = Duration::from_millis(20);
 
-/// What is known of the planner.
+/// The lease on the leader key and what is known about the leader.
 pub(crate) struct Leadership {
+    /// This entry's side of the lease on the leader key.
     pub(crate) holder: lease::Holder,
+    /// Leader with the highest term known.
     pub(crate) lead: Option<Lead>,
-    /// Nobody holds the key, since then.
-    pub(crate) vacant: Option<Duration>,
+    /// Since when the leader key is known to have no holder.
+    pub(crate) vacant_since: Option<Duration>,
+    /// A read of the leader key is in progress.
     pub(crate) is_reading: bool,
+    /// A watch of the leader key is in progress.
     pub(crate) is_watching: bool,
-    pub(crate) watched: Revision,
+    /// Revision of the store up to which all changes of the leader key are known, where the next
+    /// watch starts; 0 when the key has to be read first.
+    pub(crate) watch_from: Revision,
+    /// Earliest time of the next read of the leader key.
     pub(crate) read_at: Duration,
+    /// Earliest time of the next watch of the leader key.
     pub(crate) watch_at: Duration,
-    pub(crate) ask_at: Duration,
+    /// Earliest time of the next feed poll or question for the leader.
+    pub(crate) query_at: Duration,
+    /// Index of the entry that was last asked for the leader.
     pub(crate) next_entry: usize,
+    /// A feed poll is in progress.
     pub(crate) is_polling: bool,
-    pub(crate) hold_sent: Duration,
+    /// When the latest call for the lease was sent.
+    pub(crate) lease_call_sent: Duration,
+    /// When the latest event was handled.
     pub(crate) last_tick: Duration,
+    /// Random delay before this entry tries to acquire the leader key.
     pub(crate) stagger: Duration,
-    pub(crate) is_leaving: bool,
-    /// Term of an earlier life that has been given back.
-    pub(crate) given_back: Revision,
+    /// The process is terminating and must not become the leader again.
+    pub(crate) is_terminating: bool,
+    /// Term of a previous process of this entry that has been released already.
+    pub(crate) released_term: Revision,
 }
 
 impl Leadership {
@@ -45,24 +60,24 @@
             generation: settings.generation,
         };
         let value = Bytes::from(value.encode_to_vec());
-        let span = u64::try_from(STAGGER.as_millis()).unwrap_or(1).max(1);
+        let span = u64::try_from(MAX_STAGGER.as_millis()).unwrap_or(1).max(1);
         Leadership {
             holder: lease::Holder::new(keys::LEAD, value, settings.lead_lease),
             lead: None,
-            vacant: None,
+            vacant_since: None,
             is_reading: false,
             is_watching: false,
-            watched: 0,
+            watch_from: 0,
             read_at: Duration::ZERO,
             watch_at: Duration::ZERO,
-            ask_at: Duration::ZERO,
+            query_at: Duration::ZERO,
             next_entry: 0,
             is_polling: false,
-            hold_sent: Duration::ZERO,
+            lease_call_sent: Duration::ZERO,
             last_tick: Duration::ZERO,
             stagger: Duration::from_millis(settings.seed % span),
-            is_leaving: false,
-            given_back: 0,
+            is_terminating: false,
+            released_term: 0,
         }
     }
 }
--- a/crates/front/src/state/mod.rs
+++ b/crates/front/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! Parts of an entry's state, without what is done with them.
+//! Parts of an entry's state. The logic that works on them is in the other modules of this crate.
 
 pub(crate) mod freshness;
 pub(crate) mod leadership;
--- a/crates/front/src/state/reads.rs
+++ b/crates/front/src/state/reads.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for news of a job.
+//! State of the callers that wait for the end of a running job.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 
 use crate::event::Caller;
 
-/// A caller that is told when the job ends, or soon.
+/// A caller that is answered when the job ends or the deadline has passed.
 #[derive(Clone, Debug)]
-pub(crate) struct Read {
+pub(crate) struct WaitingRead {
     pub(crate) caller: Caller,
     pub(crate) id: JobId,
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
 }
 
-/// Callers that wait for news of a job.
+/// Callers that wait for the end of a running job.
 ///
-/// The load this answers: callers ask at about the time at which their job's last task ends, and
-/// again a quarter of a second later. The end takes about 120 ms to get from the minion's list
-/// through the store to all entries, so nearly each job was seen as complete one question late.
+/// Callers request the state at about the time at which their job's last task ends, and again a
+/// quarter of a second later. The end takes about 120 ms from the minion's list through the store
+/// to all entries. Without the wait, callers saw nearly every job as complete one request too late.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reads {
-    pub(crate) waiting: Vec<Read>,
+    pub(crate) waiting: Vec<WaitingRead>,
 }
 
 impl Reads {
-    /// Whether nobody waits.
+    /// Whether no caller waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// A caller has left.
-    pub(crate) fn left(&mut self, caller: Caller) {
+    /// Removes a caller that has disconnected.
+    pub(crate) fn remove_caller(&mut self, caller: Caller) {
         self.waiting.retain(|read| read.caller != caller);
     }
 }
--- a/crates/front/src/state/writes.rs
+++ b/crates/front/src/state/writes.rs
@@ -1,4 +1,4 @@
-//! Jobs and cancellations that are being written.
+//! State of the writes of jobs and cancellations to the store.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,56 +6,60 @@
 
 use crate::event::{Caller, Operation};
 
-/// What is to be written.
+/// Record to write.
 #[derive(Clone, Debug)]
-pub(crate) enum What {
+pub(crate) enum Payload {
     Job(Box<Job>),
     Cancel,
 }
 
-/// One write and who waits for it.
+/// A write and the callers that wait for it.
 #[derive(Clone, Debug)]
 pub(crate) struct Write {
-    pub(crate) what: What,
+    pub(crate) payload: Payload,
     pub(crate) callers: Vec<Caller>,
+    /// When the write is abandoned.
     pub(crate) deadline: Duration,
-    pub(crate) is_sent: bool,
+    /// A call with this write is in flight.
+    pub(crate) is_in_flight: bool,
+    /// Earliest time of the next attempt.
     pub(crate) retry_at: Duration,
-    /// A write got no answer and may be carried out, or has been.
-    pub(crate) is_unsure: bool,
+    /// An attempt got no answer: it may have been applied, or may be applied later.
+    pub(crate) may_be_applied: bool,
 }
 
-/// What a write is about.
+/// Record that a write creates.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Subject {
+pub(crate) struct Target {
     pub(crate) job: JobId,
-    /// The job's cancellation rather than the job.
+    /// The record is the job's cancellation rather than the job itself.
     pub(crate) is_cancel: bool,
 }
 
-impl Subject {
+impl Target {
     pub(crate) fn new(job: &str, is_cancel: bool) -> Self {
-        Subject { job: job.to_owned(), is_cancel }
+        Target { job: job.to_owned(), is_cancel }
     }
 }
 
-/// Writes by job.
+/// Writes that are pending or in flight, by job.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Writes {
     pub(crate) jobs: BTreeMap<JobId, Write>,
     pub(crate) cancels: BTreeMap<JobId, Write>,
-    pub(crate) under_way: usize,
-    /// Writes that were given up and may still be carried out, with the time until which.
-    pub(crate) unsettled: BTreeMap<Subject, Duration>,
+    /// Calls in flight.
+    pub(crate) in_flight: usize,
+    /// Abandoned writes that may still be applied, each with the time after which it can't be.
+    pub(crate) unresolved: BTreeMap<Target, Duration>,
 }
 
 impl Writes {
-    /// Writes of a kind.
-    pub(crate) fn of(&mut self, operation: &Operation) -> &mut BTreeMap<JobId, Write> {
+    /// Writes of jobs or of cancellations, whichever the operation writes.
+    pub(crate) fn by_kind(&mut self, operation: &Operation) -> &mut BTreeMap<JobId, Write> {
         if matches!(operation, Operation::Cancel(_)) { &mut self.cancels } else { &mut self.jobs }
     }
 
-    /// Jobs that wait to be written.
+    /// Number of jobs and cancellations that are not durable yet.
     pub(crate) fn len(&self) -> usize {
         self.jobs.len() + self.cancels.len()
     }
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -1,4 +1,5 @@
-//! Jobs as the planner shows them, and those that this entry has written itself.
+//! An entry's view of the jobs: those listed in the leader's feed, and those that the entry has
+//! written itself and the feed does not list yet.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,32 +10,33 @@
 
 use crate::options;
 
-/// A job that the planner shows.
+/// A job as the leader's feed lists it.
 #[derive(Clone, Debug, PartialEq)]
-struct Shown {
+struct Listed {
     queue: String,
     state: State,
 }
 
-/// Something written that the planner does not show yet.
+/// A job or cancellation that this entry has written and the leader's feed does not show yet.
 #[derive(Clone, Debug)]
-struct Untold {
-    /// The job; none for a cancellation of a job that the planner shows.
+struct Unlisted {
+    /// The job; none if only its cancellation was written here.
     job: Option<Job>,
     is_cancelled: bool,
-    told: Option<Duration>,
+    /// When the leader was last notified of it.
+    notified_at: Option<Duration>,
 }
 
-/// What an entry knows of jobs.
+/// The jobs known to an entry.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     term: u64,
     version: u64,
-    shown: BTreeMap<JobId, Shown>,
-    untold: BTreeMap<JobId, Untold>,
-    /// When the poll was sent that brought the latest feed.
-    fed: Option<Duration>,
-    /// Workers' room and open work, as of the latest feed.
+    listed: BTreeMap<JobId, Listed>,
+    unlisted: BTreeMap<JobId, Unlisted>,
+    /// When the poll for the latest feed was sent.
+    polled_at: Option<Duration>,
+    /// Resources and backlog of the workers, as of the latest feed.
     supplies: Vec<jobs::Supply>,
 }
 
@@ -44,43 +46,44 @@
         (self.term, self.version)
     }
 
-    /// Takes news from the planner; older news changes nothing.
-    pub fn feed(&mut self, sent: Duration, feed: Feed) {
+    /// Applies a feed of the leader. A feed older than the latest one is ignored.
+    pub fn apply_feed(&mut self, sent: Duration, feed: Feed) {
         if feed.term < self.term || (feed.term == self.term && feed.version < self.version) {
             return;
         }
         if feed.is_whole || feed.term > self.term {
-            self.shown.clear();
+            self.listed.clear();
         }
         self.term = feed.term;
         self.version = feed.version;
-        self.fed = Some(self.fed.map_or(sent, |fed| fed.max(sent)));
+        self.polled_at = Some(self.polled_at.map_or(sent, |polled_at| polled_at.max(sent)));
         self.supplies = feed.supplies;
         for row in feed.rows {
             let state = row.state();
-            if let Some(untold) = self.untold.get(&row.job)
-                && (!untold.is_cancelled || is_over(state))
+            if let Some(unlisted) = self.unlisted.get(&row.job)
+                && (!unlisted.is_cancelled || is_final(state))
             {
-                self.untold.remove(&row.job);
+                self.unlisted.remove(&row.job);
             }
-            self.shown.insert(row.job, Shown { queue: row.queue, state });
+            self.listed.insert(row.job, Listed { queue: row.queue, state });
         }
         for job in feed.gone {
-            self.shown.remove(&job);
+            self.listed.remove(&job);
         }
     }
 
-    /// Whether news came lately.
+    /// Whether the latest feed is recent.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        self.fed.is_some_and(|fed| now < fed + options::FEED_FRESH)
+        self.polled_at.is_some_and(|polled_at| now < polled_at + options::FEED_MAX_AGE)
     }
 
-    /// Whether news ever came.
-    pub fn is_fed(&self) -> bool {
-        self.fed.is_some()
+    /// Whether any feed has been received.
+    pub fn has_feed(&self) -> bool {
+        self.polled_at.is_some()
     }
 
-    /// What is known of the workers that run a queue's jobs, unless it is old.
+    /// Resources and backlog of the workers that run a queue's jobs; none if the latest feed is too
+    /// old.
     pub fn supply(&self, now: Duration, queue: &Queue) -> Option<admit::Supply> {
         let mut supplies = self.supplies.iter().filter(|_| self.is_fresh(now));
         let supply = supplies.find(|supply| supply.service == queue.service)?;
@@ -92,71 +95,75 @@
 
     /// State of a job, if it is known.
     pub fn state(&self, id: &str) -> Option<State> {
-        if let Some(untold) = self.untold.get(id)
-            && untold.is_cancelled
+        if let Some(unlisted) = self.unlisted.get(id)
+            && unlisted.is_cancelled
         {
             return Some(State::Cancelled);
         }
-        let shown = self.shown.get(id).map(|shown| shown.state);
-        shown.or_else(|| self.untold.get(id).map(|_| State::Queued))
+        let listed = self.listed.get(id).map(|listed| listed.state);
+        listed.or_else(|| self.unlisted.get(id).map(|_| State::Queued))
     }
 
-    /// Notes a job that this entry has written.
-    pub fn written(&mut self, job: Job) {
-        if !self.shown.contains_key(&job.id) {
+    /// Adds a job that this entry has written.
+    pub fn add_job(&mut self, job: Job) {
+        if !self.listed.contains_key(&job.id) {
             let id = job.id.clone();
-            let untold = Untold { job: Some(job), is_cancelled: false, told: None };
-            self.untold.entry(id).or_insert(untold);
+            let unlisted = Unlisted { job: Some(job), is_cancelled: false, notified_at: None };
+            self.unlisted.entry(id).or_insert(unlisted);
         }
     }
 
-    /// Notes a cancellation that this entry has written.
-    pub fn cancelled(&mut self, id: &str) {
-        let untold = Untold { job: None, is_cancelled: false, told: None };
-        let untold = self.untold.entry(id.to_owned()).or_insert(untold);
-        untold.is_cancelled = true;
-        untold.told = None;
+    /// Adds a cancellation that this entry has written.
+    pub fn add_cancellation(&mut self, id: &str) {
+        let unlisted = Unlisted { job: None, is_cancelled: false, notified_at: None };
+        let unlisted = self.unlisted.entry(id.to_owned()).or_insert(unlisted);
+        unlisted.is_cancelled = true;
+        unlisted.notified_at = None;
     }
 
-    /// Jobs of a queue of which nothing has started.
+    /// Number of jobs of a queue of which no task has started.
     pub fn pending(&self, queue: &str) -> usize {
-        let is_waiting = |shown: &&Shown| shown.queue == queue && shown.state == State::Queued;
-        let shown = self.shown.values().filter(is_waiting).count();
-        let is_own = |untold: &&Untold| {
-            !untold.is_cancelled && untold.job.as_ref().is_some_and(|job| job.queue == queue)
+        let is_waiting = |listed: &&Listed| listed.queue == queue && listed.state == State::Queued;
+        let listed = self.listed.values().filter(is_waiting).count();
+        let is_own = |unlisted: &&Unlisted| {
+            !unlisted.is_cancelled && unlisted.job.as_ref().is_some_and(|job| job.queue == queue)
         };
-        shown + self.untold.values().filter(is_own).count()
+        listed + self.unlisted.values().filter(is_own).count()
     }
 
-    /// What the planner is to be told now; it is told again until it shows it.
+    /// Notice of what is due to be reported to the leader. Jobs and cancellations are reported
+    /// again until the feed shows them.
     pub fn notice(&mut self, now: Duration) -> Option<Notice> {
         let mut notice = Notice::default();
-        for (id, untold) in &mut self.untold {
-            if untold.told.is_some_and(|told| now < told + options::TELL_AGAIN) {
+        for (id, unlisted) in &mut self.unlisted {
+            if unlisted
+                .notified_at
+                .is_some_and(|notified_at| now < notified_at + options::NOTICE_RETRY)
+            {
                 continue;
             }
-            untold.told = Some(now);
-            notice.jobs.extend(untold.job.clone());
-            if untold.is_cancelled {
+            unlisted.notified_at = Some(now);
+            notice.jobs.extend(unlisted.job.clone());
+            if unlisted.is_cancelled {
                 notice.cancelled.push(id.clone());
             }
         }
         (!notice.jobs.is_empty() || !notice.cancelled.is_empty()).then_some(notice)
     }
 
-    /// Another planner has to be told everything that it does not show.
-    pub fn tell_again(&mut self) {
-        for untold in self.untold.values_mut() {
-            untold.told = None;
+    /// Makes everything unlisted due to be reported, for a new leader.
+    pub fn reset_notices(&mut self) {
+        for unlisted in self.unlisted.values_mut() {
+            unlisted.notified_at = None;
         }
     }
 
-    /// Everything written that the planner does not show yet.
-    pub fn untold(&self) -> usize {
-        self.untold.len()
+    /// Number of jobs with a write of this entry that the feed does not show yet.
+    pub fn unlisted(&self) -> usize {
+        self.unlisted.len()
     }
 }
 
-fn is_over(state: State) -> bool {
+fn is_final(state: State) -> bool {
     matches!(state, State::Complete | State::Failed | State::Cancelled)
 }
