--- a/crates/front/tests/front.rs
+++ b/crates/front/tests/front.rs
@@ -1,4 +1,4 @@
-//! Tests of an entry, told event by event.
+//! Tests of an entry's state machine, driven event by event.
 
 mod configuration;
 mod entry;
--- a/crates/front/tests/harness/mod.rs
+++ b/crates/front/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! An entry, told event by event.
+//! An entry driven event by event, with its answers and store calls recorded.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     Duration::from_millis(time)
 }
 
-/// The configuration's text is its list of keys.
+/// Decodes the configuration of these tests, whose text is its list of caller keys.
 pub(crate) fn read_catalog(bytes: &Bytes, revision: u64) -> Result<Catalog, String> {
     let text = String::from_utf8(bytes.to_vec()).map_err(|error| error.to_string())?;
     let queue = Queue {
@@ -46,7 +46,7 @@
     }))
 }
 
-pub(crate) struct Bench {
+pub(crate) struct TestEntry {
     pub(crate) machine: Machine,
     pub(crate) answers: Vec<(u64, Answer)>,
     pub(crate) calls: Vec<Operation>,
@@ -54,7 +54,7 @@
     pub(crate) caller: u64,
 }
 
-impl Bench {
+impl TestEntry {
     pub(crate) fn new() -> Self {
         let machine = Machine::new(Options {
             name: "e".to_owned(),
@@ -67,20 +67,21 @@
             lead_lease: ms(1_300),
             seed: 1,
         });
-        Bench { machine, answers: Vec::new(), calls: Vec::new(), sent: Vec::new(), caller: 0 }
+        TestEntry { machine, answers: Vec::new(), calls: Vec::new(), sent: Vec::new(), caller: 0 }
     }
 
-    /// One that knows a configuration with the key `k`, proven at the time given.
+    /// Creates an entry with a feed and with a configuration that contains the caller key `k`,
+    /// verified at the given time.
     pub(crate) fn configured(now: u64) -> Self {
-        let mut bench = Bench::new();
-        bench.tell(now, Event::Tick);
-        bench.config(now, now, 7, "k");
+        let mut entry = TestEntry::new();
+        entry.handle(now, Event::Tick);
+        entry.catalog_reply(now, now, 7, "k");
         let feed = Feed { term: 1, version: 1, is_whole: true, ..Feed::default() };
-        bench.tell(now, Event::Feed { sent: ms(now), feed: Some(Box::new(feed)) });
-        bench
+        entry.handle(now, Event::Feed { sent: ms(now), feed: Some(Box::new(feed)) });
+        entry
     }
 
-    pub(crate) fn tell(&mut self, now: u64, event: Event) {
+    pub(crate) fn handle(&mut self, now: u64, event: Event) {
         let moment = Moment { steady: ms(now), unix: ms(now) };
         for effect in self.machine.handle(moment, event) {
             match effect {
@@ -94,16 +95,16 @@
         }
     }
 
-    pub(crate) fn config(&mut self, now: u64, sent: u64, revision: u64, keys: &str) {
+    pub(crate) fn catalog_reply(&mut self, now: u64, sent: u64, revision: u64, keys: &str) {
         let value = Value { revision, bytes: Bytes::from(keys.to_owned()) };
-        self.store(now, sent, Operation::Catalog, Reply::Value(value));
+        self.store_reply(now, sent, Operation::Catalog, Reply::Value(value));
     }
 
-    pub(crate) fn store(&mut self, now: u64, sent: u64, operation: Operation, reply: Reply) {
-        self.tell(now, Event::Store { operation, sent: ms(sent), reply });
+    pub(crate) fn store_reply(&mut self, now: u64, sent: u64, operation: Operation, reply: Reply) {
+        self.handle(now, Event::Store { operation, sent: ms(sent), reply });
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn request(
         &mut self,
         now: u64,
         path: &str,
@@ -118,18 +119,18 @@
             patience: Some(ms(3_000)),
             action,
         };
-        self.tell(now, Event::Request(self.caller, Box::new(request)));
-        self.answer()
+        self.handle(now, Event::Request(self.caller, Box::new(request)));
+        self.last_answer()
     }
 
-    /// The answer to the latest request, if it has one.
-    pub(crate) fn answer(&self) -> Option<Answer> {
+    /// Answer to the latest request, if it has been answered.
+    pub(crate) fn last_answer(&self) -> Option<Answer> {
         let mine = self.answers.iter().rfind(|(caller, _)| *caller == self.caller);
         mine.map(|(_, answer)| answer.clone())
     }
 }
 
-pub(crate) fn submit() -> Action {
+pub(crate) fn submit_one_step() -> Action {
     let step = Step { tasks: 1, ..Step::default() };
     Action::Submit(Ok(Handin { spec: "s".to_owned(), steps: vec![step], schedule: None }))
 }
