--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -6,7 +6,7 @@
 
 /// A job as its caller submits it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Handin {
+pub struct Submission {
     /// Specification of the work, passed on to the minions unchanged.
     pub spec: String,
     /// Steps of the job.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Submit a job; the error text says why the request could not be decoded.
-    Submit(Result<Handin, String>),
+    Submit(Result<Submission, String>),
     /// Get the state of a job, or the number of pending jobs of a queue.
     Read,
     /// Cancel a job.
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -11,7 +11,7 @@
 use sapphire_store::call::{Call, Reply};
 
 use crate::{
-    answer::{Action, Answer, Handin, Request},
+    answer::{Action, Answer, Request, Submission},
     effect::Effect,
     event::{Caller, Operation},
     machine::{Lookup, Machine, Purpose, Retry},
@@ -114,7 +114,7 @@
         id: &str,
         queue: &Queue,
         organisation: String,
-        submission: Handin,
+        submission: Submission,
     ) -> Job {
         let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         Job {
@@ -336,7 +336,7 @@
 }
 
 /// First error in a submitted job, if any.
-fn validate(submission: &Handin, unix_now: Duration) -> Option<String> {
+fn validate(submission: &Submission, unix_now: Duration) -> Option<String> {
     if submission.spec.len() > MAX_SPEC_BYTES {
         return Some(format!("spec is longer than {MAX_SPEC_BYTES} bytes"));
     }
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use prost::Message as _;
 use sapphire_front::{
-    answer::{Action, Answer, Handin},
+    answer::{Action, Answer, Submission},
     event::{Event, Operation},
     reach::Way,
 };
@@ -132,7 +132,7 @@
 fn invalid_jobs_are_refused_with_the_reason() {
     let mut entry = TestEntry::configured(1_000);
     let with_steps = |steps: Vec<Step>| {
-        Action::Submit(Ok(Handin { spec: String::new(), steps, schedule: None }))
+        Action::Submit(Ok(Submission { spec: String::new(), steps, schedule: None }))
     };
     let malformed = |entry: &mut TestEntry, action| match entry.request(1_100, "/q/1", "k", action)
     {
@@ -303,7 +303,7 @@
 fn submit_step(accelerators: u64, estimate_ms: u64) -> Action {
     let room = Room { millicores: 1_000, memory_mib: 1_000, accelerators };
     let step = Step { tasks: 1, room: Some(room.message()), estimate_ms, ..Step::default() };
-    Action::Submit(Ok(Handin { spec: String::new(), steps: vec![step], schedule: None }))
+    Action::Submit(Ok(Submission { spec: String::new(), steps: vec![step], schedule: None }))
 }
 
 /// Guards against accepting a job that fits no worker: it would wait forever while its caller asks
@@ -433,7 +433,7 @@
 }
 
 fn submit_steps(steps: Vec<Step>, schedule: Option<Schedule>) -> Action {
-    Action::Submit(Ok(Handin { spec: String::new(), steps, schedule }))
+    Action::Submit(Ok(Submission { spec: String::new(), steps, schedule }))
 }
 
 /// Guards against an entry that crashes because the sum of a job's declared run times overflows.
--- a/crates/front/tests/harness/mod.rs
+++ b/crates/front/tests/harness/mod.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use sapphire_front::{
-    answer::{Action, Answer, Handin, Request},
+    answer::{Action, Answer, Request, Submission},
     effect::Effect,
     event::{Event, Operation},
     machine::Machine,
@@ -132,7 +132,7 @@
 
 pub(crate) fn submit_one_step() -> Action {
     let step = Step { tasks: 1, ..Step::default() };
-    Action::Submit(Ok(Handin { spec: "s".to_owned(), steps: vec![step], schedule: None }))
+    Action::Submit(Ok(Submission { spec: "s".to_owned(), steps: vec![step], schedule: None }))
 }
 
 pub(crate) fn is_refused(answer: Option<&Answer>) -> bool {
--- a/crates/proofs/src/jobs/world/callers.rs
+++ b/crates/proofs/src/jobs/world/callers.rs
@@ -45,7 +45,8 @@
             return;
         }
         self.note(&format!("job={} is handed in", job.id));
-        let handin = answer::Handin { spec: job.spec, steps: job.steps, schedule: job.schedule };
+        let handin =
+            answer::Submission { spec: job.spec, steps: job.steps, schedule: job.schedule };
         self.request(index, answer::Action::Submit(Ok(handin)));
         // Callers ask again when there is no answer.
         self.after(Duration::from_millis(1_500), Action::Submit(index));
