--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -38,7 +38,7 @@
     /// Key of the caller's organisation; empty when the request has none.
     pub key: String,
     /// How long the caller waits for the answer, if the request states it.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Requested operation.
     pub action: Action,
 }
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -74,7 +74,7 @@
                 }
             }
         }
-        let timeout = request.patience.unwrap_or(DEFAULT_TIMEOUT);
+        let timeout = request.timeout.unwrap_or(DEFAULT_TIMEOUT);
         match request.action {
             Action::Read if rest.is_empty() => self.read_queue(now, caller, &queue.name),
             _ if !is_id(rest) => self.answer(caller, Answer::NoJob),
--- a/crates/front/tests/harness/mod.rs
+++ b/crates/front/tests/harness/mod.rs
@@ -116,7 +116,7 @@
             host: "h".to_owned(),
             path: path.to_owned(),
             key: key.to_owned(),
-            patience: Some(ms(3_000)),
+            timeout: Some(ms(3_000)),
             action,
         };
         self.handle(now, Event::Request(self.caller, Box::new(request)));
--- a/crates/proofs/src/jobs/world/callers.rs
+++ b/crates/proofs/src/jobs/world/callers.rs
@@ -22,7 +22,7 @@
             host: "h".to_owned(),
             path: format!("/{}/{}", job.queue, job.id),
             key: job.organisation.clone(),
-            patience: Some(Duration::from_secs(3)),
+            timeout: Some(Duration::from_secs(3)),
             action,
         };
         let life = self.entries[entry].life;
