--- a/crates/front/src/event.rs
+++ b/crates/front/src/event.rs
@@ -47,7 +47,7 @@
     /// A caller has sent a request.
     Request(Caller, Box<Request>),
     /// A caller has disconnected.
-    Left(Caller),
+    Disconnected(Caller),
     /// The store has replied to a call, or the call has failed.
     Store {
         /// Purpose of the call.
--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -102,7 +102,7 @@
             Event::Request(caller, request) => {
                 self.request(steady, now.unix, caller, *request);
             }
-            Event::Left(caller) => self.reads.remove_caller(caller),
+            Event::Disconnected(caller) => self.reads.remove_caller(caller),
             Event::Store { operation, sent, reply } => {
                 self.store_replied(steady, operation, sent, reply);
             }
--- a/crates/sapphired/src/jobs_entry/mod.rs
+++ b/crates/sapphired/src/jobs_entry/mod.rs
@@ -147,7 +147,7 @@
                     let text = format!("request={caller} {} caller left", served.text);
                     self.levels.info("front", &text);
                 }
-                self.front_event(now, front::event::Event::Left(caller));
+                self.front_event(now, front::event::Event::Disconnected(caller));
                 self.planner_event(now, planner::event::Event::Left(caller));
             }
             Event::Net(NetEvent::Answer { call, result }) => self.answered(now, call, result),
