--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -130,7 +130,7 @@
             max_attempts: queue.max_attempts,
             slack_milli: (queue.slack * 1_000.0) as u32,
             target_latency_ms: millis(queue.target_latency),
-            term: self.lead().map_or(0, |lead| lead.term),
+            term: self.leader().map_or(0, |leader| leader.term),
         }
     }
 
--- a/crates/front/src/effect.rs
+++ b/crates/front/src/effect.rs
@@ -32,7 +32,7 @@
         notice: Box<Notice>,
     },
     /// Ask another entry who the leader is.
-    AskLead {
+    QueryLeader {
         /// Address of that entry.
         address: String,
     },
--- a/crates/front/src/event.rs
+++ b/crates/front/src/event.rs
@@ -20,13 +20,13 @@
     /// Watching the configuration for changes.
     CatalogWatch,
     /// Reading the leader key.
-    Lead,
+    Leader,
     /// Watching the leader key for changes.
-    LeadWatch,
+    LeaderWatch,
     /// Acquiring the leader key or renewing its lease.
-    Hold,
+    LeaderLease,
     /// Releasing the leader key.
-    Release,
+    LeaderRelease,
     /// Writing jobs.
     Submit(Vec<JobId>),
     /// Writing a cancellation.
@@ -65,7 +65,7 @@
         feed: Option<Box<Feed>>,
     },
     /// Another process has reported who the leader is.
-    Lead(Lead),
+    Leader(Lead),
     /// The process is asked to terminate.
     Terminate,
     /// Periodic call, so that time-outs and retries are handled.
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -48,7 +48,7 @@
             let prefix = keys::LEAD.to_owned();
             let (after, wait) = (leadership.watch_from, options::WATCH_WAIT);
             let call = Call::WatchPrefix { prefix, after, wait };
-            self.effects.push(Effect::Store(Operation::LeadWatch, call));
+            self.effects.push(Effect::Store(Operation::LeaderWatch, call));
         }
         let is_outdated = leadership.watch_from == 0 || !self.view.is_fresh(now);
         if is_outdated && !self.is_planning && !leadership.is_reading && now >= leadership.read_at {
@@ -58,7 +58,7 @@
                 after: String::new(),
                 may_be_stale: false,
             };
-            self.effects.push(Effect::Store(Operation::Lead, call));
+            self.effects.push(Effect::Store(Operation::Leader, call));
         }
     }
 
@@ -98,17 +98,17 @@
             return;
         };
         match Lead::decode(&value[..]) {
-            Ok(lead) => self.follow(Lead { term: item.revision, ..lead }),
+            Ok(leader) => self.follow(Lead { term: item.revision, ..leader }),
             Err(error) => self.log(format!("leader key can't be decoded: {error}")),
         }
     }
 
     /// Whether the holder of the leader key is a previous process of this entry. Name and address
     /// belong to one machine, where only one process at a time can listen at the address.
-    fn is_previous_process(&self, lead: &Lead) -> bool {
-        lead.name == self.options.name
-            && lead.address == self.options.address
-            && lead.generation != self.options.generation
+    fn is_previous_process(&self, leader: &Lead) -> bool {
+        leader.name == self.options.name
+            && leader.address == self.options.address
+            && leader.generation != self.options.generation
     }
 
     /// Releases the leader key that a previous process of this entry holds.
@@ -126,7 +126,7 @@
         let conditions = vec![Condition { key: keys::LEAD.to_owned(), revision: term }];
         let removes = vec![keys::LEAD.to_owned()];
         let call = Call::Commit { conditions, puts: Vec::new(), removes };
-        self.effects.push(Effect::Store(Operation::Release, call));
+        self.effects.push(Effect::Store(Operation::LeaderRelease, call));
     }
 
     fn mark_vacant(&mut self, now: Duration) {
@@ -137,32 +137,32 @@
     }
 
     /// Follows the leader with the highest term.
-    pub(crate) fn follow(&mut self, lead: Lead) {
-        let known = self.leadership.lead.as_ref().map_or(0, |lead| lead.term);
-        if lead.term < known {
+    pub(crate) fn follow(&mut self, leader: Lead) {
+        let known = self.leadership.leader.as_ref().map_or(0, |leader| leader.term);
+        if leader.term < known {
             return;
         }
-        if self.is_previous_process(&lead) {
-            self.release_previous(lead.term);
+        if self.is_previous_process(&leader) {
+            self.release_previous(leader.term);
             return;
         }
-        if lead.term > known {
-            self.log(format!("term={} planner={} at {}", lead.term, lead.name, lead.address));
+        if leader.term > known {
+            self.log(format!("term={} planner={} at {}", leader.term, leader.name, leader.address));
             self.leadership.vacant_since = None;
             self.leadership.is_polling = false;
             self.view.reset_notices();
             let is_other =
-                lead.name != self.options.name || lead.generation != self.options.generation;
+                leader.name != self.options.name || leader.generation != self.options.generation;
             if self.is_planning && is_other {
                 self.resign();
             }
-            self.leadership.lead = Some(lead);
+            self.leadership.leader = Some(leader);
         }
     }
 
     /// The latest known leader.
-    pub fn lead(&self) -> Option<&Lead> {
-        self.leadership.lead.as_ref()
+    pub fn leader(&self) -> Option<&Lead> {
+        self.leadership.leader.as_ref()
     }
 
     fn drive_lease(&mut self, now: Duration) {
@@ -174,7 +174,7 @@
                 .is_some_and(|since| now >= since + leadership.stagger + distance);
         if let Some(call) = leadership.holder.poll(now, may_take) {
             leadership.lease_call_sent = now;
-            self.effects.push(Effect::Store(Operation::Hold, call));
+            self.effects.push(Effect::Store(Operation::LeaderLease, call));
         }
     }
 
@@ -190,7 +190,7 @@
             lease::Outcome::Taken(_) if self.leadership.is_terminating => self.resign(),
             lease::Outcome::Taken(term) => {
                 self.leadership.vacant_since = None;
-                let lead = Lead {
+                let leader = Lead {
                     name: self.options.name.clone(),
                     address: self.options.address.clone(),
                     term,
@@ -198,7 +198,7 @@
                 };
                 self.is_planning = true;
                 self.log(format!("term={term} begins here"));
-                self.follow(lead);
+                self.follow(leader);
                 self.effects.push(Effect::Plan(term));
             }
             lease::Outcome::Lapsed => {
@@ -212,7 +212,7 @@
     /// Stops planning and releases the leader key.
     pub(crate) fn resign(&mut self) {
         if let Some(call) = self.leadership.holder.release() {
-            self.effects.push(Effect::Store(Operation::Release, call));
+            self.effects.push(Effect::Store(Operation::LeaderRelease, call));
             let value = Lead {
                 name: self.options.name.clone(),
                 address: self.options.address.clone(),
@@ -220,7 +220,8 @@
                 generation: self.options.generation,
             };
             let value = Bytes::from(value.encode_to_vec());
-            self.leadership.holder = lease::Holder::new(keys::LEAD, value, self.options.lead_lease);
+            self.leadership.holder =
+                lease::Holder::new(keys::LEAD, value, self.options.leader_lease);
         }
         if self.is_planning {
             self.is_planning = false;
@@ -265,7 +266,7 @@
     }
 
     fn drive_feed(&mut self, now: Duration) {
-        let Some(lead) = &self.leadership.lead else {
+        let Some(leader) = &self.leadership.leader else {
             self.query_leader(now);
             return;
         };
@@ -279,13 +280,13 @@
                 version,
                 store_age_ms: u64::try_from(self.reach.age(now).as_millis()).unwrap_or(u64::MAX),
             };
-            let address = lead.address.clone();
+            let address = leader.address.clone();
             self.effects.push(Effect::Feed { address, poll });
         }
-        if let Some(lead) = &self.leadership.lead
+        if let Some(leader) = &self.leadership.leader
             && let Some(notice) = self.view.notice(now)
         {
-            let address = lead.address.clone();
+            let address = leader.address.clone();
             self.effects.push(Effect::Notice { address, notice: Box::new(notice) });
         }
         if !self.view.is_fresh(now) {
@@ -301,7 +302,7 @@
         self.leadership.next_entry += 1;
         let address = self.entries[self.leadership.next_entry % self.entries.len()].clone();
         if address != self.options.address {
-            self.effects.push(Effect::AskLead { address });
+            self.effects.push(Effect::QueryLeader { address });
         }
     }
 
@@ -316,7 +317,7 @@
             self.leadership.query_at = now + options::LEADER_QUERY_DELAY;
             return;
         };
-        if feed.term < self.leadership.lead.as_ref().map_or(0, |lead| lead.term) {
+        if feed.term < self.leadership.leader.as_ref().map_or(0, |leader| leader.term) {
             return;
         }
         if !feed.entries.is_empty() {
--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -107,7 +107,7 @@
                 self.store_replied(steady, operation, sent, reply);
             }
             Event::Feed { sent, feed } => self.feed_received(steady, sent, feed),
-            Event::Lead(lead) => self.follow(lead),
+            Event::Leader(leader) => self.follow(leader),
             Event::Terminate => {
                 self.is_terminating = true;
                 self.terminate();
@@ -136,14 +136,14 @@
             Operation::Catalog => self.catalog_read(now, sent, reply),
             Operation::Proof => self.freshness_checked(now, sent, reply),
             Operation::CatalogWatch => self.catalog_changed(now, reply),
-            Operation::Lead => self.leader_read(now, reply),
-            Operation::LeadWatch => self.leader_changed(now, reply),
-            Operation::Hold => self.lease_replied(now, sent, reply),
+            Operation::Leader => self.leader_read(now, reply),
+            Operation::LeaderWatch => self.leader_changed(now, reply),
+            Operation::LeaderLease => self.lease_replied(now, sent, reply),
             Operation::Submit(_) | Operation::Cancel(_) => self.write_ended(now, &operation, reply),
             Operation::LookUp(id) => self.job_looked_up(now, id, reply),
             Operation::LookUpProgress(id) => self.progress_looked_up(now, id, reply),
             Operation::LookUpCancel(id) => self.cancel_looked_up(now, id, reply),
-            Operation::Probe | Operation::Release => {}
+            Operation::Probe | Operation::LeaderRelease => {}
         }
     }
 
--- a/crates/front/src/options.rs
+++ b/crates/front/src/options.rs
@@ -27,7 +27,7 @@
     /// Time within which a revoked caller key must stop being served.
     pub revocation: Duration,
     /// Duration of the lease on the leader key.
-    pub lead_lease: Duration,
+    pub leader_lease: Duration,
     /// Seed of random choices.
     pub seed: u64,
 }
--- a/crates/front/src/state/leadership.rs
+++ b/crates/front/src/state/leadership.rs
@@ -19,7 +19,7 @@
     /// This entry's side of the lease on the leader key.
     pub(crate) holder: lease::Holder,
     /// Leader with the highest term known.
-    pub(crate) lead: Option<Lead>,
+    pub(crate) leader: Option<Lead>,
     /// Since when the leader key is known to have no holder.
     pub(crate) vacant_since: Option<Duration>,
     /// A read of the leader key is in progress.
@@ -62,8 +62,8 @@
         let value = Bytes::from(value.encode_to_vec());
         let span = u64::try_from(MAX_STAGGER.as_millis()).unwrap_or(1).max(1);
         Leadership {
-            holder: lease::Holder::new(keys::LEAD, value, settings.lead_lease),
-            lead: None,
+            holder: lease::Holder::new(keys::LEAD, value, settings.leader_lease),
+            leader: None,
             vacant_since: None,
             is_reading: false,
             is_watching: false,
--- a/crates/front/tests/configuration/mod.rs
+++ b/crates/front/tests/configuration/mod.rs
@@ -164,8 +164,7 @@
 #[test]
 fn a_configuration_that_cannot_be_decoded_is_read_rarely() {
     let mut entry = TestEntry::configured(1_000);
-    let calls =
-        |entry: &TestEntry| count(entry, &Operation::Catalog) + count(entry, &Operation::Proof);
+    let calls = |it: &TestEntry| count(it, &Operation::Catalog) + count(it, &Operation::Proof);
     let before = calls(&entry);
     let value = Some(Bytes::from_static(&[0xff]));
     let item = || Item { key: CONFIG.to_owned(), value: value.clone(), revision: 9 };
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -347,8 +347,8 @@
         let value = Some(Bytes::from(lead.encode_to_vec()));
         let item = Item { key: "lead".to_owned(), value, revision: 40 };
         let reply = Reply::Items { items: vec![item], has_more: false, revision: 41 };
-        entry.store_reply(1_020, 1_010, Operation::Lead, reply);
-        entry.calls.contains(&Operation::Release)
+        entry.store_reply(1_020, 1_010, Operation::Leader, reply);
+        entry.calls.contains(&Operation::LeaderRelease)
     };
     assert!(read("e", "e:1", 7));
     assert!(!read("e", "e:1", 1), "this process holds it");
@@ -383,10 +383,11 @@
 fn a_watch_of_the_leader_key_whose_history_is_gone_restarts_after_a_delay() {
     let mut entry = TestEntry::configured(1_000);
     let nobody = |revision| Reply::Items { items: Vec::new(), has_more: false, revision };
-    entry.store_reply(1_020, 1_010, Operation::Lead, nobody(40));
-    let reads = |entry: &TestEntry| entry.calls.iter().filter(|it| **it == Operation::Lead).count();
+    entry.store_reply(1_020, 1_010, Operation::Leader, nobody(40));
+    let reads =
+        |entry: &TestEntry| entry.calls.iter().filter(|it| **it == Operation::Leader).count();
     let before = reads(&entry);
-    entry.store_reply(1_030, 1_020, Operation::LeadWatch, Reply::HistoryGone);
+    entry.store_reply(1_030, 1_020, Operation::LeaderWatch, Reply::HistoryGone);
     assert_eq!(reads(&entry), before);
     entry.handle(1_400, Event::Tick);
     assert_eq!(reads(&entry), before + 1);
@@ -421,15 +422,15 @@
 fn a_terminating_entry_releases_a_leader_key_that_it_acquires_late() {
     let mut entry = TestEntry::configured(1_000);
     let nobody = Reply::Items { items: Vec::new(), has_more: false, revision: 41 };
-    entry.store_reply(1_020, 1_010, Operation::Lead, nobody);
+    entry.store_reply(1_020, 1_010, Operation::Leader, nobody);
     for time in (1_050..1_300).step_by(10) {
         entry.handle(time, Event::Tick);
     }
-    entry.store_reply(1_300, 1_290, Operation::Hold, Reply::Leased(5));
+    entry.store_reply(1_300, 1_290, Operation::LeaderLease, Reply::Leased(5));
     entry.handle(1_310, Event::Terminate);
-    entry.store_reply(1_320, 1_300, Operation::Hold, Reply::Written(70));
-    assert_eq!(entry.calls.last(), Some(&Operation::Release));
-    assert_eq!(entry.machine.lead(), None);
+    entry.store_reply(1_320, 1_300, Operation::LeaderLease, Reply::Written(70));
+    assert_eq!(entry.calls.last(), Some(&Operation::LeaderRelease));
+    assert_eq!(entry.machine.leader(), None);
 }
 
 fn submit_steps(steps: Vec<Step>, schedule: Option<Schedule>) -> Action {
--- a/crates/front/tests/harness/mod.rs
+++ b/crates/front/tests/harness/mod.rs
@@ -64,7 +64,7 @@
             catalog_key: CONFIG.to_owned(),
             read_catalog,
             revocation: ms(REVOCATION),
-            lead_lease: ms(1_300),
+            leader_lease: ms(1_300),
             seed: 1,
         });
         TestEntry { machine, answers: Vec::new(), calls: Vec::new(), sent: Vec::new(), caller: 0 }
--- a/crates/proofs/src/jobs/world/entries.rs
+++ b/crates/proofs/src/jobs/world/entries.rs
@@ -75,7 +75,7 @@
                     let event = planner::event::Event::Notice(*notice);
                     self.after(latency, Action::Planner(other, life, event));
                 }
-                Effect::AskLead { address } => {
+                Effect::QueryLeader { address } => {
                     let Some(other) = Self::entry_of(&address) else { continue };
                     let latency = self.latency(region, self.entries[other].region);
                     let asker = Asker::Entry(entry);
@@ -150,7 +150,7 @@
     }
 
     pub(super) fn announce(&mut self, entry: usize, addresses: &[String]) {
-        let Some(lead) = self.entries[entry].front.lead().cloned() else { return };
+        let Some(lead) = self.entries[entry].front.leader().cloned() else { return };
         for address in addresses {
             let Some(agent) = address.strip_prefix('a').and_then(|text| text.parse().ok()) else {
                 continue;
@@ -249,11 +249,11 @@
         if !node.is_up || self.now < node.frozen_until {
             return;
         }
-        let Some(lead): Option<Lead> = node.front.lead().cloned() else { return };
+        let Some(lead): Option<Lead> = node.front.leader().cloned() else { return };
         match asker {
             Asker::Entry(asking) => {
                 let latency = self.latency(node.region, self.entries[asking].region);
-                let event = front::event::Event::Lead(lead);
+                let event = front::event::Event::Leader(lead);
                 self.after(latency, Action::Front(asking, life, event));
             }
             Asker::Agent(agent) => {
--- a/crates/proofs/src/jobs/world/mod.rs
+++ b/crates/proofs/src/jobs/world/mod.rs
@@ -305,7 +305,7 @@
             catalog_key: CONFIG.to_owned(),
             read_catalog: settings::read_catalog,
             revocation: Duration::from_secs(5),
-            lead_lease: Duration::from_millis(1_300),
+            leader_lease: Duration::from_millis(1_300),
             seed: index as u64 * 17,
         }
     }
--- a/crates/sapphired/src/jobs_entry/effects.rs
+++ b/crates/sapphired/src/jobs_entry/effects.rs
@@ -40,7 +40,7 @@
                 let id = inner::call(hub, &address, "POST", inner::NOTICE, &*notice, SHORT_TIMEOUT);
                 self.calls.extend(id.map(|id| (id, Pending::Told)));
             }
-            Effect::AskLead { address } => {
+            Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
                 let id = inner::call(hub, &address, "GET", inner::LEAD, &(), SHORT_TIMEOUT);
                 self.calls.extend(id.map(|id| (id, Pending::Lead)));
@@ -93,7 +93,7 @@
     }
 
     fn announce(&mut self, addresses: &[String]) {
-        let Some(lead) = self.front.lead().cloned() else { return };
+        let Some(lead) = self.front.leader().cloned() else { return };
         for address in addresses {
             let hub = &mut self.net.borrow_mut();
             let id = inner::call(hub, address, "POST", inner::LEAD, &lead, SHORT_TIMEOUT);
--- a/crates/sapphired/src/jobs_entry/options.rs
+++ b/crates/sapphired/src/jobs_entry/options.rs
@@ -41,7 +41,7 @@
         catalog_key: platform::store::CONFIGURATION.to_owned(),
         read_catalog: platform::config::read,
         revocation: Duration::from_millis(bounds.revocation_ms),
-        lead_lease: Duration::from_millis(bounds.store_lease_ms).max(LEAD_LEASE),
+        leader_lease: Duration::from_millis(bounds.store_lease_ms).max(LEAD_LEASE),
         seed,
     }
 }
--- a/crates/sapphired/src/jobs_entry/requests.rs
+++ b/crates/sapphired/src/jobs_entry/requests.rs
@@ -58,7 +58,7 @@
                 Err(error) => self.malformed(caller, &error),
             },
             ("GET", inner::LEAD) => {
-                let response = match self.front.lead() {
+                let response = match self.front.leader() {
                     Some(lead) => inner::response(lead),
                     None => Response::new(404, ""),
                 };
@@ -118,7 +118,7 @@
             }
             Some(Pending::Lead) => {
                 if let Some(lead) = inner::answer::<Lead>(result) {
-                    self.front_event(now, front::event::Event::Lead(lead));
+                    self.front_event(now, front::event::Event::Leader(lead));
                 }
             }
             Some(Pending::Told) | None => {}
