--- a/crates/front/src/effect.rs
+++ b/crates/front/src/effect.rs
@@ -39,7 +39,7 @@
     /// Use this configuration from now on.
     Catalog(Arc<Catalog>),
     /// The active configuration was verified to be the newest.
-    Fresh {
+    CatalogVerified {
         /// Revision of the configuration.
         revision: u64,
         /// Time at which no newer configuration existed.
--- a/crates/front/src/event.rs
+++ b/crates/front/src/event.rs
@@ -16,7 +16,7 @@
     /// Reading the configuration.
     Catalog,
     /// Checking that the active configuration is the newest.
-    Proof,
+    Freshness,
     /// Watching the configuration for changes.
     CatalogWatch,
     /// Reading the leader key.
--- a/crates/front/src/freshness.rs
+++ b/crates/front/src/freshness.rs
@@ -61,7 +61,7 @@
         let key = self.options.catalog_key.clone();
         let conditions = vec![Condition { key, revision: freshness.revision() }];
         let call = Call::Commit { conditions, puts: Vec::new(), removes: Vec::new() };
-        self.effects.push(Effect::Store(Operation::Proof, call));
+        self.effects.push(Effect::Store(Operation::Freshness, call));
     }
 
     /// Handles the reply to a read. The configuration counts as verified when the read was sent.
@@ -156,7 +156,7 @@
             && freshness.verified_at.is_none_or(|verified_at| verified_at < at)
         {
             freshness.verified_at = Some(at);
-            self.effects.push(Effect::Fresh { revision, at });
+            self.effects.push(Effect::CatalogVerified { revision, at });
         }
     }
 
--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -129,12 +129,12 @@
     }
 
     fn store_replied(&mut self, now: Duration, operation: Operation, sent: Duration, reply: Reply) {
-        if matches!(operation, Operation::Catalog | Operation::Proof) {
+        if matches!(operation, Operation::Catalog | Operation::Freshness) {
             self.min_store_latency = self.min_store_latency.min(now.saturating_sub(sent));
         }
         match operation {
             Operation::Catalog => self.catalog_read(now, sent, reply),
-            Operation::Proof => self.freshness_checked(now, sent, reply),
+            Operation::Freshness => self.freshness_checked(now, sent, reply),
             Operation::CatalogWatch => self.catalog_changed(now, reply),
             Operation::Leader => self.leader_read(now, reply),
             Operation::LeaderWatch => self.leader_changed(now, reply),
--- a/crates/front/tests/configuration/mod.rs
+++ b/crates/front/tests/configuration/mod.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_freshness_check_counts_from_when_it_was_sent() {
     let mut entry = TestEntry::configured(1_000);
-    entry.store_reply(6_500, 2_000, Operation::Proof, Reply::Committed(9));
+    entry.store_reply(6_500, 2_000, Operation::Freshness, Reply::Committed(9));
     let answer = entry.request(6_900, "/q/", "k", Action::Read);
     assert!(is_refused(answer.as_ref()), "{answer:?}");
 }
@@ -109,8 +109,8 @@
         |entry: &TestEntry| entry.calls.iter().filter(|it| **it == Operation::Catalog).count();
     let before = reads(&entry);
     entry.store_reply(2_000, 1_900, Operation::CatalogWatch, Reply::HistoryGone);
-    assert_eq!(entry.calls.last(), Some(&Operation::Proof));
-    entry.store_reply(2_010, 2_000, Operation::Proof, Reply::Committed(90));
+    assert_eq!(entry.calls.last(), Some(&Operation::Freshness));
+    entry.store_reply(2_010, 2_000, Operation::Freshness, Reply::Committed(90));
     assert_eq!(watched_from(&entry).last(), Some(&90));
     assert_eq!(reads(&entry), before);
 }
@@ -134,7 +134,8 @@
 #[test]
 fn a_change_that_a_watch_is_delivering_is_not_read_as_well() {
     let mut entry = TestEntry::configured(1_000);
-    let (reads, checks) = (count(&entry, &Operation::Catalog), count(&entry, &Operation::Proof));
+    let (reads, checks) =
+        (count(&entry, &Operation::Catalog), count(&entry, &Operation::Freshness));
     entry.handle(3_000, Event::Feed { sent: ms(2_990), feed: feed_with_check(2, 9) });
     for time in (3_050..3_450).step_by(50) {
         entry.handle(time, Event::Tick);
@@ -142,7 +143,7 @@
     entry.store_reply(3_450, 1_000, Operation::CatalogWatch, catalog_change(9));
     entry.handle(3_600, Event::Tick);
     assert_eq!(count(&entry, &Operation::Catalog), reads);
-    assert!(count(&entry, &Operation::Proof) <= checks + 1, "the new one may be checked once");
+    assert!(count(&entry, &Operation::Freshness) <= checks + 1, "the new one may be checked once");
 }
 
 /// Guards against a change that is missed because its watch no longer delivers anything.
@@ -164,18 +165,18 @@
 #[test]
 fn a_configuration_that_cannot_be_decoded_is_read_rarely() {
     let mut entry = TestEntry::configured(1_000);
-    let calls = |it: &TestEntry| count(it, &Operation::Catalog) + count(it, &Operation::Proof);
+    let calls = |it: &TestEntry| count(it, &Operation::Catalog) + count(it, &Operation::Freshness);
     let before = calls(&entry);
     let value = Some(Bytes::from_static(&[0xff]));
     let item = || Item { key: CONFIG.to_owned(), value: value.clone(), revision: 9 };
-    entry.store_reply(1_500, 1_400, Operation::Proof, Reply::Refused(vec![item()]));
+    entry.store_reply(1_500, 1_400, Operation::Freshness, Reply::Refused(vec![item()]));
     let mut answered = calls(&entry);
     for time in (1_550..5_550).step_by(50) {
         entry.handle(time, Event::Tick);
         if calls(&entry) > answered {
             answered = calls(&entry);
             let (operation, reply) = match entry.calls.last() {
-                Some(Operation::Proof) => (Operation::Proof, Reply::Refused(vec![item()])),
+                Some(Operation::Freshness) => (Operation::Freshness, Reply::Refused(vec![item()])),
                 _ => {
                     let bytes = value.clone().expect("the item has a value");
                     (Operation::Catalog, Reply::Value(Value { revision: 9, bytes }))
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -400,7 +400,7 @@
     let mut entry = TestEntry::configured(1_000);
     let operation = || Operation::Submit(vec!["1".to_owned()]);
     let unanswered = |entry: &mut TestEntry, at: u64| {
-        entry.store_reply(at, at, Operation::Proof, Reply::Committed(9));
+        entry.store_reply(at, at, Operation::Freshness, Reply::Committed(9));
         assert_eq!(entry.request(at, "/q/1", "k", submit_one_step()), None);
         entry.store_reply(at + 500, at, operation(), Reply::Unavailable("no answer".to_owned()));
         entry.handle(at + 1_300, Event::Tick);
@@ -408,7 +408,7 @@
     };
     unanswered(&mut entry, 2_000);
     unanswered(&mut entry, 15_000);
-    entry.store_reply(19_900, 19_900, Operation::Proof, Reply::Committed(9));
+    entry.store_reply(19_900, 19_900, Operation::Freshness, Reply::Committed(9));
     assert_eq!(entry.request(20_000, "/q/1", "k", submit_one_step()), None);
     entry.store_reply(20_400, 20_000, operation(), Reply::NotDone("busy".to_owned()));
     entry.handle(21_300, Event::Tick);
--- a/crates/proofs/src/jobs/world/entries.rs
+++ b/crates/proofs/src/jobs/world/entries.rs
@@ -84,7 +84,7 @@
                 Effect::Catalog(catalog) => {
                     self.tell_planner(entry, life, planner::event::Event::Catalog(catalog));
                 }
-                Effect::Fresh { revision, at } => {
+                Effect::CatalogVerified { revision, at } => {
                     let event = planner::event::Event::Fresh { revision, at };
                     self.tell_planner(entry, life, event);
                 }
--- a/crates/sapphired/src/jobs_entry/effects.rs
+++ b/crates/sapphired/src/jobs_entry/effects.rs
@@ -49,7 +49,7 @@
                 self.catalog = catalog.clone();
                 self.planner_event(now, planner::event::Event::Catalog(catalog));
             }
-            Effect::Fresh { revision, at } => {
+            Effect::CatalogVerified { revision, at } => {
                 self.planner_event(now, planner::event::Event::Fresh { revision, at });
             }
             Effect::Plan(term) => {
--- a/crates/sapphired/src/jobs_entry/store.rs
+++ b/crates/sapphired/src/jobs_entry/store.rs
@@ -107,7 +107,7 @@
     match origin {
         Origin::Front(operation) => match operation {
             Front::Catalog => "catalog",
-            Front::Proof => "proof",
+            Front::Freshness => "proof",
             Front::CatalogWatch => "catalog_watch",
             Front::Leader => "lead",
             Front::LeaderWatch => "lead_watch",
@@ -133,7 +133,7 @@
     use front::event::Operation;
     match origin {
         Origin::Front(Operation::Catalog) => LARGE_RELAY_TIMEOUT,
-        Origin::Front(Operation::Proof) => PROOF_RELAY_TIMEOUT,
+        Origin::Front(Operation::Freshness) => PROOF_RELAY_TIMEOUT,
         Origin::Planner { .. } if matches!(call, Call::Scan { .. }) => LARGE_RELAY_TIMEOUT,
         _ => RELAY_TIMEOUT,
     }
