--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records whether a call to the store that was not a watch got an answer.
-    pub fn note_call(&mut self, now: Duration, way: &Way, is_answered: bool) -> Vec<Effect> {
+    pub fn record_call(&mut self, now: Duration, way: &Way, is_answered: bool) -> Vec<Effect> {
         self.reach.record_any(now, is_answered);
         if let Way::Through(entry) = way {
             self.reach.record_relayed(entry, is_answered);
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -104,11 +104,11 @@
 fn callers_are_answered_at_once_while_the_store_is_unreachable() {
     let mut entry = TestEntry::configured(1_000);
     for time in [1_100, 1_500, 1_900] {
-        entry.machine.note_call(ms(time), &Way::Straight, false);
+        entry.machine.record_call(ms(time), &Way::Straight, false);
     }
     let answer = entry.request(2_000, "/q/1", "k", submit_one_step());
     assert!(is_refused(answer.as_ref()), "{answer:?}");
-    entry.machine.note_call(ms(2_100), &Way::Straight, true);
+    entry.machine.record_call(ms(2_100), &Way::Straight, true);
     assert_eq!(entry.request(2_200, "/q/2", "k", submit_one_step()), None);
 }
 
@@ -208,7 +208,7 @@
     let operation = Operation::Submit(vec!["1".to_owned()]);
     entry.store_reply(1_500, 1_100, operation, Reply::Unavailable("no answer".to_owned()));
     for time in [1_500, 1_900, 2_150] {
-        entry.machine.note_call(ms(time), &Way::Straight, false);
+        entry.machine.record_call(ms(time), &Way::Straight, false);
     }
     entry.handle(2_200, Event::Tick);
     assert!(
@@ -242,12 +242,12 @@
         ..Feed::default()
     };
     entry.handle(1_050, Event::Feed { sent: ms(1_040), feed: Some(Box::new(feed)) });
-    entry.machine.note_call(ms(1_100), &Way::Straight, false);
+    entry.machine.record_call(ms(1_100), &Way::Straight, false);
     let good = Way::Through("b:1".to_owned());
     let mut tried = 0;
     loop {
         let way = entry.machine.way(false);
-        entry.machine.note_call(ms(1_200), &way, way == good);
+        entry.machine.record_call(ms(1_200), &way, way == good);
         tried += 1;
         if way == good {
             break;
@@ -256,9 +256,9 @@
     }
     for _ in 0..5 {
         assert_eq!(entry.machine.way(false), good);
-        entry.machine.note_call(ms(1_300), &good, true);
+        entry.machine.record_call(ms(1_300), &good, true);
     }
-    entry.machine.note_call(ms(1_400), &good, false);
+    entry.machine.record_call(ms(1_400), &good, false);
     assert_ne!(entry.machine.way(false), good);
 }
 
@@ -272,7 +272,7 @@
         let feed = Feed { term: 1, version: 2, ..Feed::default() };
         entry.handle(feed_at, Event::Feed { sent: ms(feed_at), feed: Some(Box::new(feed)) });
         for time in [3_100, 3_500, 3_900] {
-            entry.machine.note_call(ms(time), &Way::Straight, false);
+            entry.machine.record_call(ms(time), &Way::Straight, false);
         }
         entry.request(4_000, "/q/1", "k", submit_one_step())
     };
--- a/crates/sapphired/src/jobs_entry/store.rs
+++ b/crates/sapphired/src/jobs_entry/store.rs
@@ -48,7 +48,7 @@
             self.levels.info("front", &text);
         }
         if !is_watch(call) {
-            let effects = self.front.note_call(now.steady, way, is_answered);
+            let effects = self.front.record_call(now.steady, way, is_answered);
             self.perform(now, effects.into_iter().map(Work::Front).collect());
         }
         match origin {
