--- a/crates/front/src/effect.rs
+++ b/crates/front/src/effect.rs
@@ -1,4 +1,4 @@
-//! Effects: what the caller of [`crate::machine::Machine`] has to carry out.
+//! Effects: the actions that an entry's state machine leaves to the program around it.
 
 use std::sync::Arc;
 
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -32,9 +32,9 @@
     /// Stops planning after the process was paused: another entry may have become the leader
     /// meanwhile, and all that the planner knows of the workers is out of date.
     fn resign_after_pause(&mut self, now: Duration) {
-        let paused = now.saturating_sub(self.leadership.last_tick);
-        let is_first = self.leadership.last_tick.is_zero();
-        self.leadership.last_tick = now;
+        let paused = now.saturating_sub(self.leadership.last_event);
+        let is_first = self.leadership.last_event.is_zero();
+        self.leadership.last_event = now;
         if self.is_planning && !is_first && paused >= MAX_PAUSE {
             self.log(format!("paused for {} ms; stops planning", paused.as_millis()));
             self.resign();
--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -32,7 +32,7 @@
 pub(crate) struct Lookup {
     pub(crate) caller: Caller,
     pub(crate) purpose: Purpose,
-    /// When the caller is answered that the store can't be reached.
+    /// When the look-up is abandoned.
     pub(crate) deadline: Duration,
 }
 
@@ -63,13 +63,13 @@
     pub(crate) entries: Vec<String>,
     /// This entry is the leader and runs the planner.
     pub(crate) is_planning: bool,
-    /// Since when the lease on the leader key has expired while this entry still plans.
+    /// When this entry, still planning, found the lease on the leader key expired.
     pub(crate) stale_since: Option<Duration>,
     /// The process has been asked to terminate.
     pub(crate) is_terminating: bool,
     /// Shortest time in which the store has answered a read or a freshness check.
     pub(crate) min_store_latency: Duration,
-    /// Effects that the next return hands to the caller.
+    /// Effects collected for the next return value.
     pub(crate) effects: Vec<Effect>,
 }
 
@@ -186,8 +186,8 @@
     /// Whether callers should be directed to this entry.
     pub fn is_ready(&self, now: Duration) -> bool {
         let max_age = self.options.revocation.min(options::READY_MAX_AGE);
-        let has_proof = self.freshness.age(now).is_some_and(|age| age < max_age);
-        !self.is_terminating && has_proof && self.view.has_feed()
+        let is_verified = self.freshness.age(now).is_some_and(|age| age < max_age);
+        !self.is_terminating && is_verified && self.view.has_feed()
     }
 
     /// Whether no caller waits for an answer.
--- a/crates/front/src/options.rs
+++ b/crates/front/src/options.rs
@@ -37,9 +37,10 @@
 /// Age of the last freshness check up to which a caller may be told that its queue or key does not
 /// exist.
 pub const REFUSAL_MAX_AGE: Duration = Duration::from_millis(2_000);
-/// Age of the last freshness check up to which the entry reports itself ready. It is above
-/// [`FOLLOWER_CHECK_AGE`] plus the time of a slow store. New callers avoid an isolated entry 2.5 s
-/// before it has to reject caller keys.
+/// Age of the last freshness check up to which the entry reports itself ready. Above
+/// [`FOLLOWER_CHECK_AGE`] plus the time that a slow store takes to answer. Below the age at which
+/// an entry refuses all caller keys ([`Options::revocation`] less [`REVOCATION_MARGIN`], 4.6 s by
+/// default), so that new callers leave an isolated entry before that.
 pub const READY_MAX_AGE: Duration = Duration::from_millis(3_000);
 /// How often the leader checks that its configuration is the newest; the feed passes the result on
 /// to the other entries.
@@ -94,5 +95,6 @@
 pub const FEED_MAX_AGE: Duration = Duration::from_millis(2_000);
 /// Delay before another entry is asked who the leader is, and after a failed feed poll.
 pub const LEADER_QUERY_DELAY: Duration = Duration::from_millis(150);
-/// Delay between reads of the leader key while no leader is known.
+/// Delay between reads of the leader key, which are made while its changes are not being watched or
+/// the feed is out of date.
 pub const LEADER_READ_INTERVAL: Duration = Duration::from_millis(700);
--- a/crates/front/src/state/leadership.rs
+++ b/crates/front/src/state/leadership.rs
@@ -35,14 +35,14 @@
     pub(crate) watch_at: Duration,
     /// Earliest time of the next feed poll or question for the leader.
     pub(crate) query_at: Duration,
-    /// Index of the entry that was last asked for the leader.
+    /// Counter that selects the next entry to be asked for the leader.
     pub(crate) next_entry: usize,
     /// A feed poll is in progress.
     pub(crate) is_polling: bool,
     /// When the latest call for the lease was sent.
     pub(crate) lease_call_sent: Duration,
     /// When the latest event was handled.
-    pub(crate) last_tick: Duration,
+    pub(crate) last_event: Duration,
     /// Random delay before this entry tries to acquire the leader key.
     pub(crate) stagger: Duration,
     /// The process is terminating and must not become the leader again.
@@ -74,7 +74,7 @@
             next_entry: 0,
             is_polling: false,
             lease_call_sent: Duration::ZERO,
-            last_tick: Duration::ZERO,
+            last_event: Duration::ZERO,
             stagger: Duration::from_millis(settings.seed % span),
             is_terminating: false,
             released_term: 0,
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -159,7 +159,7 @@
     }
 
     /// Number of jobs with a write of this entry that the feed does not show yet.
-    pub fn unlisted(&self) -> usize {
+    pub fn unlisted_count(&self) -> usize {
         self.unlisted.len()
     }
 }
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -267,7 +267,7 @@
 /// wait, since each try in vain uses up one of their tries.
 #[test]
 fn callers_of_an_isolated_entry_may_retry_elsewhere_at_once() {
-    let cut_off = |feed_at: u64| {
+    let isolated = |feed_at: u64| {
         let mut entry = TestEntry::configured(1_000);
         let feed = Feed { term: 1, version: 2, ..Feed::default() };
         entry.handle(feed_at, Event::Feed { sent: ms(feed_at), feed: Some(Box::new(feed)) });
@@ -276,8 +276,8 @@
         }
         entry.request(4_000, "/q/1", "k", submit_one_step())
     };
-    assert_matches!(cut_off(1_500), Some(Answer::NotDone { after: Duration::ZERO, .. }));
-    assert_matches!(cut_off(3_900), Some(Answer::NotDone { after, .. }) if !after.is_zero());
+    assert_matches!(isolated(1_500), Some(Answer::NotDone { after: Duration::ZERO, .. }));
+    assert_matches!(isolated(3_900), Some(Answer::NotDone { after, .. }) if !after.is_zero());
 }
 
 /// Guards against callers that are directed to an entry that can't serve them. It is partitioned,
