--- a/crates/agent/src/contact.rs
+++ b/crates/agent/src/contact.rs
@@ -1,26 +1,28 @@
-//! Entries that an agent speaks to.
+//! Entries with which an agent exchanges messages.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use sapphire_wire::{Peer, id, peer};
 
-/// Silence, in time-outs, after which an entry that is not in the settings is forgotten.
-const FORGET_AFTER: u32 = 20;
+/// Entries that are not in the settings are removed after this many silence timeouts without a
+/// message.
+const FORGET_AFTER_TIMEOUTS: u32 = 20;
 
-/// One entry.
+/// An entry.
 #[derive(Clone, Debug)]
 pub struct Contact {
-    /// Entry; generation 0 until it has been heard.
+    /// Name and address; the generation is 0 until the first message arrives.
     pub peer: Peer,
-    /// Its region; empty until it has been heard.
+    /// Region of the entry; empty until the first message arrives.
     pub region: String,
-    /// When it was last heard.
-    pub heard: Duration,
-    /// It asked for an announcement, or was never sent one.
-    pub wants_announcement: bool,
+    /// Time of the last message from it, or of the first mention by another process.
+    pub last_contact: Duration,
+    /// Whether the next message to it must be an announcement: it asked for one or has not received
+    /// one yet.
+    pub needs_announcement: bool,
 }
 
-/// All entries known, by address.
+/// All known entries by address.
 #[derive(Debug)]
 pub struct Contacts {
     seeds: Vec<id::Address>,
@@ -28,50 +30,53 @@
 }
 
 impl Contacts {
-    /// Starts with the entries of the settings.
+    /// Creates the list from the entries named in the settings.
     pub fn new(now: Duration, seeds: &[id::Address]) -> Self {
         let mut contacts = Contacts { seeds: seeds.to_vec(), known: BTreeMap::new() };
         for address in seeds {
-            contacts.learn(now, &peer::new("", address, 0));
+            contacts.add(now, &peer::new("", address, 0));
         }
         contacts
     }
 
-    /// Adds an entry that another process named.
-    pub fn learn(&mut self, now: Duration, peer: &Peer) {
+    /// Adds an entry that another process named, unless it is already known.
+    pub fn add(&mut self, now: Duration, peer: &Peer) {
         let region = String::new();
-        let contact = Contact { peer: peer.clone(), region, heard: now, wants_announcement: true };
+        let contact =
+            Contact { peer: peer.clone(), region, last_contact: now, needs_announcement: true };
         self.known.entry(peer.address.clone()).or_insert(contact);
     }
 
-    /// Notes a message of an entry. An entry in a new life knows nothing of this agent.
-    pub fn hear(&mut self, now: Duration, peer: &Peer, region: &str) {
-        self.learn(now, peer);
+    /// Records a message from an entry. An entry with a new generation does not know this agent yet
+    /// and needs an announcement.
+    pub fn record_message(&mut self, now: Duration, peer: &Peer, region: &str) {
+        self.add(now, peer);
         if let Some(contact) = self.known.get_mut(&peer.address) {
-            contact.heard = now;
+            contact.last_contact = now;
             contact.region = region.to_owned();
-            contact.wants_announcement |= !peer::is_same_life(&contact.peer, peer);
+            contact.needs_announcement |= !peer::is_same_life(&contact.peer, peer);
             contact.peer = peer.clone();
         }
     }
 
-    /// Marks that an entry asked for an announcement.
-    pub fn want(&mut self, address: &str) {
+    /// Records that an entry asked for an announcement.
+    pub fn request_announcement(&mut self, address: &str) {
         if let Some(contact) = self.known.get_mut(address) {
-            contact.wants_announcement = true;
+            contact.needs_announcement = true;
         }
     }
 
-    /// Entries to speak to now; the announcement wish is taken by the caller.
+    /// All entries, for sending to them. The caller resets `needs_announcement` when it announces.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Contact> {
         self.known.values_mut()
     }
 
-    /// Forgets entries that have long been silent, unless the settings name them.
+    /// Removes entries that have been silent for a long time, unless the settings name them.
     pub fn forget_silent(&mut self, now: Duration, silence: Duration) {
         let seeds = &self.seeds;
         self.known.retain(|address, contact| {
-            seeds.contains(address) || now.saturating_sub(contact.heard) <= silence * FORGET_AFTER
+            seeds.contains(address)
+                || now.saturating_sub(contact.last_contact) <= silence * FORGET_AFTER_TIMEOUTS
         });
     }
 }
--- a/crates/agent/src/effect.rs
+++ b/crates/agent/src/effect.rs
@@ -1,31 +1,32 @@
-//! What an agent wants done.
+//! Outputs of the agent's state machine.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use sapphire_wire::{Header, Peer, envelope, id};
 
-/// One output of the state machine.
+/// An output, to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a message to an address.
+    /// Send a message.
     Send {
-        /// Receiver; the generation is 0 when it is not known.
+        /// Receiver; its generation is 0 when not known.
         to: Peer,
-        /// Message.
+        /// The message.
         envelope: Box<envelope::Envelope>,
     },
-    /// Stop everything an earlier life of this agent started, then say `WorkerReset`.
+    /// Stop everything that an earlier process of this agent started on the worker, then report
+    /// `WorkerReset`.
     ResetWorker,
     /// Start a gang's tasks on the worker under a lease.
     RunTasks(Run),
-    /// Extend the lease of running tasks.
+    /// Extend the lease of running tasks to the given time from now.
     RenewTasks(id::Attempt, Duration),
     /// Ask running tasks for a checkpoint.
     CheckpointTasks(id::Attempt),
     /// Stop running tasks.
     StopTasks(id::Attempt),
-    /// Hand a request to the minion.
+    /// Forward a request to the minion.
     AskMinion(Call),
     /// Write a log line.
     Log(String),
@@ -33,63 +34,64 @@
     Exit,
 }
 
-/// Tasks to start.
+/// A gang's tasks to start on this worker.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Attempt they belong to.
+    /// Attempt that the tasks belong to.
     pub attempt: id::Attempt,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Accelerators of all tasks together.
+    /// Accelerators of all these tasks together.
     pub accelerators: u32,
-    /// Program.
+    /// Command that each task runs.
     pub command: String,
-    /// Lease; the worker stops the tasks when it lapses.
+    /// Lease; the worker stops the tasks when it expires.
     pub lease: Duration,
 }
 
 /// A request for the minion.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Attempt of the caller's entry.
+    /// Identifier of the attempt, assigned by the entry.
     pub attempt: id::Attempt,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers of the caller.
+    /// Headers sent by the caller.
     pub headers: Vec<Header>,
-    /// Body of the caller.
+    /// Body sent by the caller.
     pub body: Bytes,
     /// Time left until the caller's deadline.
     pub left: Duration,
 }
 
-/// What the minion answered.
+/// Result of a request to the minion.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Attempt it answers.
+    /// Attempt that this result belongs to.
     pub attempt: id::Attempt,
-    /// Status, headers and body; or why there is no whole answer.
+    /// Complete HTTP answer, or why there is none.
     pub answer: Result<Whole, Failure>,
 }
 
-/// A whole answer.
+/// A complete HTTP answer of the minion.
 #[derive(Clone, Debug)]
 pub struct Whole {
     /// HTTP status.
     pub status: u32,
-    /// Headers of the minion.
+    /// Headers sent by the minion.
     pub headers: Vec<Header>,
-    /// Body of the minion.
+    /// Body sent by the minion.
     pub body: Bytes,
 }
 
-/// Why the minion has no whole answer.
+/// Why there is no complete answer of the minion.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// The minion never saw the request: the connection was refused.
+    /// Whether the request certainly did not reach the minion, for example because the connection
+    /// was refused.
     pub is_unseen: bool,
-    /// Reason in words.
+    /// Reason as text.
     pub reason: String,
 }
--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What is taken of a worker, and by whom: the one authority on its accelerators.
+//! Resources of a worker and the gangs that use them; the only authority over the worker's
+//! accelerators.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,54 +11,55 @@
 
 use crate::member::{End, Member, Phase};
 
-/// What the ledger decided; the machine turns it into effects.
+/// A decision of the ledger, which the state machine turns into effects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Tell the planner how its hold stands.
+    /// Report the state of a hold to the planner.
     Reply(id::Attempt, HoldState, String),
     /// Start the tasks under a lease.
     Start(id::Attempt, Duration),
     /// Extend the tasks' lease.
     Renew(id::Attempt, Duration),
-    /// Ask for a checkpoint, and tell the lead that the gang is being evicted.
+    /// Ask the tasks for a checkpoint and notify the coordinator that the gang is being evicted.
     Evict(id::Attempt, Duration),
     /// Stop the tasks.
     Stop(id::Attempt),
-    /// The member ended: tell the lead.
+    /// The member has ended; notify the coordinator.
     Ended(id::Attempt),
 }
 
-/// Members by attempt, and the limits they are held to.
+/// Members by attempt, and the rules that apply to them.
 #[derive(Debug)]
 pub struct Ledger {
     capacity: resource::Amount,
     lease: Duration,
-    memory: Duration,
+    retention: Duration,
     grace: Duration,
-    order: reclaim::Order,
-    bound: BTreeMap<id::Organisation, u32>,
+    reclaim_order: reclaim::Order,
+    guarantees: BTreeMap<id::Organisation, u32>,
     is_draining: bool,
     members: BTreeMap<id::Attempt, Member>,
     changes: Vec<Change>,
 }
 
 impl Ledger {
-    /// An empty ledger.
-    pub fn new(capacity: resource::Amount, lease: Duration, memory: Duration) -> Self {
+    /// Creates a ledger without members. `lease` is the time for which one renewal counts,
+    /// `retention` how long ended members are kept.
+    pub fn new(capacity: resource::Amount, lease: Duration, retention: Duration) -> Self {
         Ledger {
             capacity,
             lease,
-            memory,
+            retention,
             grace: Duration::ZERO,
-            order: reclaim::Order::default(),
-            bound: BTreeMap::new(),
+            reclaim_order: reclaim::Order::default(),
+            guarantees: BTreeMap::new(),
             is_draining: false,
             members: BTreeMap::new(),
             changes: Vec::new(),
         }
     }
 
-    /// Takes what has been decided since the last call.
+    /// Returns the decisions made since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
@@ -67,15 +69,16 @@
         &self.members
     }
 
-    /// One member.
+    /// One member, for modification.
     pub fn get_mut(&mut self, attempt: &str) -> Option<&mut Member> {
         self.members.get_mut(attempt)
     }
 
-    /// Puts the worker's part of the rules in force.
+    /// Applies the rules that concern this worker.
     ///
     /// # Errors
-    /// When the slice binds more accelerators than the worker has; nothing changes then.
+    /// When the slice binds more accelerators than the worker has; the previous rules then stay in
+    /// force.
     pub fn apply(&mut self, slice: &Slice) -> Result<(), String> {
         let total: u32 = slice.bound.iter().map(|bound| bound.accelerators).sum();
         if total > self.capacity.accelerators {
@@ -83,9 +86,9 @@
         }
         self.grace = Duration::from_millis(slice.grace_ms);
         let smallest = reclaim::Order::Smallest;
-        self.order = if slice.smallest_first { smallest } else { reclaim::Order::Youngest };
+        self.reclaim_order = if slice.smallest_first { smallest } else { reclaim::Order::Youngest };
         let bound = slice.bound.iter();
-        self.bound = bound.map(|b| (b.organisation.clone(), b.accelerators)).collect();
+        self.guarantees = bound.map(|b| (b.organisation.clone(), b.accelerators)).collect();
         self.is_draining = slice.draining;
         Ok(())
     }
@@ -100,15 +103,15 @@
         self.is_draining
     }
 
-    /// What no member takes.
+    /// Resources that no member uses or reserves.
     pub fn free(&self) -> resource::Amount {
-        let taken = self.members.values().filter(|member| member.takes_room());
+        let taken = self.members.values().filter(|member| member.uses_resources());
         taken.fold(self.capacity, |free, member| free.minus(&member.need))
     }
 
-    /// Accelerators that stopping borrowers would free.
+    /// Accelerators that stopping all borrowers would free.
     pub fn borrowed(&self) -> u32 {
-        let borrowers = self.members.values().filter(|m| m.takes_room() && !m.is_guaranteed);
+        let borrowers = self.members.values().filter(|m| m.uses_resources() && !m.is_guaranteed);
         borrowers.map(|member| member.need.accelerators).sum()
     }
 
@@ -117,17 +120,17 @@
         waiting.fold(resource::Amount::default(), |sum, member| sum.plus(&member.need))
     }
 
-    fn guaranteed_use(&self, organisation: &str) -> u32 {
+    fn guaranteed_in_use(&self, organisation: &str) -> u32 {
         let own = self.members.values().filter(|member| {
             member.is_guaranteed && !member.is_ended() && member.organisation == organisation
         });
         own.map(|member| member.need.accelerators).sum()
     }
 
-    /// Decides on a hold. A repeated hold gets the same reply.
+    /// Decides on a hold. A repeated hold gets a reply that tells its current state.
     pub fn hold(&mut self, now: Duration, hold: &Hold, planner: &Peer) {
         if let Some(member) = self.members.get(&hold.attempt) {
-            let (state, reason) = Self::repeat(member);
+            let (state, reason) = Self::reply_to_repeated(member);
             self.reply(&hold.attempt, state, reason);
             return;
         }
@@ -153,7 +156,7 @@
         }
     }
 
-    fn repeat(member: &Member) -> (HoldState, &'static str) {
+    fn reply_to_repeated(member: &Member) -> (HoldState, &'static str) {
         match member.phase {
             Phase::Waiting { .. } => (HoldState::HoldEvicting, ""),
             Phase::Held { .. } => (HoldState::HoldGranted, ""),
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Whether the hold may be granted, at once or after eviction.
+    /// Whether the hold may be granted, at once or after eviction; otherwise the reason.
     fn admit(&self, hold: &Hold, shape: &Shape, need: &resource::Amount) -> Result<(), String> {
         if shape.accelerators == 0 || hold.tasks == 0 {
             return Err("the hold asks for nothing".to_owned());
@@ -173,22 +176,22 @@
             return Err("the worker is draining".to_owned());
         }
         if !hold.guaranteed {
-            let room = self.free().minus(&self.claimed());
-            return if room.holds(need) { Ok(()) } else { Err("no room".to_owned()) };
+            let available = self.free().minus(&self.claimed());
+            return if available.holds(need) { Ok(()) } else { Err("no room".to_owned()) };
         }
         if !self.is_within_share(need) {
             return Err("more processors or memory than go with its accelerators".to_owned());
         }
-        let bound = self.bound.get(&hold.organisation).copied().unwrap_or(0);
-        let used = self.guaranteed_use(&hold.organisation);
+        let bound = self.guarantees.get(&hold.organisation).copied().unwrap_or(0);
+        let used = self.guaranteed_in_use(&hold.organisation);
         if used + need.accelerators > bound {
             return Err(format!("beyond the guarantee: {used} of {bound} accelerators in use"));
         }
         Ok(())
     }
 
-    /// Whether a guaranteed gang takes no more processors and memory than its accelerators'
-    /// share, so that it can't starve another organisation's guarantee on the same worker.
+    /// Whether a guaranteed gang uses no more processors and memory than the share of its
+    /// accelerators, so that it can't block another organisation's guarantee on the same worker.
     fn is_within_share(&self, need: &resource::Amount) -> bool {
         let all = u64::from(self.capacity.accelerators);
         let own = u64::from(need.accelerators);
@@ -197,36 +200,38 @@
                 <= u128::from(self.capacity.memory_bytes) * u128::from(own)
     }
 
-    /// Whether what is free, coming free and reclaimable covers all waiting holds.
+    /// Whether the accelerators that are free, about to be freed or reclaimable cover all waiting
+    /// holds.
     fn can_reclaim(&self) -> bool {
-        let coming = self.members.values().filter(|member| match member.phase {
+        let releasing = self.members.values().filter(|member| match member.phase {
             Phase::Evicting { .. } | Phase::Stopping => true,
             Phase::Held { .. } | Phase::Running { .. } => self.is_reclaimable(member),
             Phase::Waiting { .. } | Phase::Ended { .. } => false,
         });
-        let room = coming.fold(self.free(), |room, member| room.plus(&member.need));
-        room.accelerators >= self.claimed().accelerators
+        let available =
+            releasing.fold(self.free(), |available, member| available.plus(&member.need));
+        available.accelerators >= self.claimed().accelerators
     }
 
     fn reply(&mut self, attempt: &str, state: HoldState, reason: &str) {
         self.changes.push(Change::Reply(attempt.to_owned(), state, reason.to_owned()));
     }
 
-    /// Whether reclaim may stop this member: it borrows, or its organisation's guarantee here
-    /// has shrunk below what it uses.
+    /// Whether this member may be evicted by reclaim: it borrows, or its organisation uses more
+    /// than its current guarantee on this worker.
     fn is_reclaimable(&self, member: &Member) -> bool {
-        let bound = self.bound.get(&member.organisation).copied().unwrap_or(0);
-        !member.is_guaranteed || self.guaranteed_use(&member.organisation) > bound
+        let bound = self.guarantees.get(&member.organisation).copied().unwrap_or(0);
+        !member.is_guaranteed || self.guaranteed_in_use(&member.organisation) > bound
     }
 
-    /// Evicts the cheapest borrowers that make room for all waiting holds.
+    /// Evicts the cheapest borrowers that free enough resources for all waiting holds.
     fn evict_for_waiting(&mut self, now: Duration) {
         let claimed = self.claimed();
         let ending = self
             .members
             .values()
             .filter(|member| matches!(member.phase, Phase::Evicting { .. } | Phase::Stopping));
-        let coming = ending.fold(self.free(), |room, member| room.plus(&member.need));
+        let releasing = ending.fold(self.free(), |available, member| available.plus(&member.need));
         let borrowers = self.members.iter().filter(|(_, member)| {
             matches!(member.phase, Phase::Held { .. } | Phase::Running { .. })
                 && self.is_reclaimable(member)
@@ -234,21 +239,24 @@
         let borrowers = borrowers.map(|(attempt, member)| reclaim::Borrower {
             attempt: attempt.clone(),
             need: member.need,
-            ran: ran(now, member),
-            gang: member.gang,
+            ran: run_time(now, member),
+            gang: member.gang_accelerators,
         });
-        for attempt in reclaim::choose(borrowers.collect(), self.order, &coming, &claimed) {
+        for attempt in
+            reclaim::choose(borrowers.collect(), self.reclaim_order, &releasing, &claimed)
+        {
             self.evict(now, &attempt);
         }
     }
 
-    /// Begins to evict a member, because its room is reclaimed or its lead says so.
+    /// Begins to evict a member, because its resources are reclaimed here or its coordinator asks
+    /// for it.
     pub fn evict(&mut self, now: Duration, attempt: &str) {
         let grace = self.grace;
         let Some(member) = self.members.get_mut(attempt) else { return };
         match member.phase {
             Phase::Held { .. } | Phase::Waiting { .. } => {
-                self.end(now, attempt, End::Barred, "its room was reclaimed");
+                self.end(now, attempt, End::NeverStarted, "its room was reclaimed");
                 self.reply(attempt, HoldState::HoldRefused, "its room was reclaimed");
             }
             Phase::Running { until } => {
@@ -261,7 +269,7 @@
         }
     }
 
-    /// Grants waiting holds that now fit.
+    /// Grants waiting holds that fit now.
     fn grant_waiting(&mut self, now: Duration, ttl: Duration) {
         let waiting: Vec<id::Attempt> = self
             .members
@@ -279,29 +287,33 @@
         }
     }
 
-    /// A lease from the lead: starts a held member, extends a running one. One that is being
-    /// evicted goes on to the end of its grace period, so that a slow checkpoint is finished.
+    /// Handles a lease from the coordinator: starts a held member, or extends the lease of a
+    /// running one. A member that is being evicted keeps running until the end of its grace period,
+    /// so that a slow checkpoint can be completed.
     ///
-    /// Guards against a lease that was delayed on its way: it counts from the beat it answers,
-    /// by this agent's own clock, so that a late one can't keep a stopped gang's task alive. A
-    /// lease never starts a member that was barred, nor one whose hold has lapsed.
-    pub fn lease(&mut self, now: Duration, attempt: &str, beat: u64) -> TaskState {
+    /// Guards against a delayed lease message. The extension counts from when the answered
+    /// heartbeat was sent, by this agent's own clock, so that a late message can't keep a task of a
+    /// stopped gang running. A lease never starts a member that was barred or whose reservation has
+    /// expired.
+    pub fn apply_lease(&mut self, now: Duration, attempt: &str, heartbeat: u64) -> TaskState {
         let lease = self.lease;
         let Some(member) = self.members.get_mut(attempt) else { return TaskState::TaskUnknown };
         match member.phase {
-            Phase::Held { until } if beat == 0 && now < until => {
+            Phase::Held { until } if heartbeat == 0 && now < until => {
                 member.phase = Phase::Running { until: now + lease };
                 member.started = now;
                 self.changes.push(Change::Start(attempt.to_owned(), lease));
             }
             Phase::Running { until } => {
-                let renewed = member.beat_time(beat).map_or(until, |at| at + lease).max(until);
+                let renewed =
+                    member.heartbeat_time(heartbeat).map_or(until, |at| at + lease).max(until);
                 member.phase = Phase::Running { until: renewed };
                 let left = renewed.saturating_sub(now);
                 self.changes.push(Change::Renew(attempt.to_owned(), left));
             }
             Phase::Evicting { stop_at, until } if now < stop_at => {
-                let renewed = member.beat_time(beat).map_or(until, |at| at + lease).max(until);
+                let renewed =
+                    member.heartbeat_time(heartbeat).map_or(until, |at| at + lease).max(until);
                 let until = renewed.min(stop_at);
                 member.phase = Phase::Evicting { stop_at, until };
                 let left = until.saturating_sub(now);
@@ -313,13 +325,13 @@
         self.members.get(attempt).map_or(TaskState::TaskUnknown, Member::state)
     }
 
-    /// Refuses to start an attempt ever, stops it if it runs, and says where it stands.
+    /// Bars an attempt: it can't start any more and is stopped if it runs. Returns its state.
     ///
-    /// An attempt that has not been seen leaves a tombstone, so that a hold or lease still on
-    /// its way is refused when it arrives.
-    pub fn bar(&mut self, now: Duration, attempt: &str, reason: &str) -> TaskState {
+    /// An attempt that has not been seen leaves a tombstone, so that a hold or lease that is still
+    /// on its way is refused when it arrives.
+    pub fn invalidate(&mut self, now: Duration, attempt: &str, reason: &str) -> TaskState {
         if !self.members.contains_key(attempt) {
-            let tombstone = Member::barred(now + self.memory);
+            let tombstone = Member::tombstone(now + self.retention);
             self.members.insert(attempt.to_owned(), tombstone);
         }
         self.stop(now, attempt, reason);
@@ -331,7 +343,7 @@
         let Some(member) = self.members.get_mut(attempt) else { return };
         match member.phase {
             Phase::Waiting { .. } | Phase::Held { .. } => {
-                self.end(now, attempt, End::Barred, reason);
+                self.end(now, attempt, End::NeverStarted, reason);
             }
             Phase::Running { .. } | Phase::Evicting { .. } => {
                 if member.reason.is_empty() {
@@ -345,10 +357,10 @@
         }
     }
 
-    /// The worker says that a member's tasks have ended.
+    /// Handles the worker's report that a member's tasks have ended.
     pub fn task_ended(&mut self, now: Duration, attempt: &str, exit: Option<i32>, reason: &str) {
         let Some(member) = self.members.get(attempt) else { return };
-        if !member.takes_room() {
+        if !member.uses_resources() {
             return;
         }
         let end = exit.map_or(End::Stopped, End::Exited);
@@ -356,7 +368,7 @@
     }
 
     fn end(&mut self, now: Duration, attempt: &str, end: End, reason: &str) {
-        let forget_at = now + self.memory;
+        let forget_at = now + self.retention;
         let Some(member) = self.members.get_mut(attempt) else { return };
         member.phase = Phase::Ended { end, forget_at };
         if member.reason.is_empty() {
@@ -365,26 +377,27 @@
         self.changes.push(Change::Ended(attempt.to_owned()));
     }
 
-    /// Lets holds and leases lapse, stops what outlived its grace period, grants what now fits.
+    /// Expires reservations and leases, stops members whose grace period is over, and grants holds
+    /// that fit now.
     pub fn tick(&mut self, now: Duration) {
         let attempts: Vec<id::Attempt> = self.members.keys().cloned().collect();
         for attempt in &attempts {
-            self.lapse(now, attempt);
+            self.expire(now, attempt);
         }
         self.evict_for_waiting(now);
         self.grant_waiting(now, self.lease);
         self.assert_invariants();
     }
 
-    fn lapse(&mut self, now: Duration, attempt: &str) {
+    fn expire(&mut self, now: Duration, attempt: &str) {
         let Some(member) = self.members.get(attempt) else { return };
         match member.phase {
             Phase::Waiting { until } if now >= until => {
-                self.end(now, attempt, End::Barred, "no room came free in time");
+                self.end(now, attempt, End::NeverStarted, "no room came free in time");
                 self.reply(attempt, HoldState::HoldRefused, "no room came free in time");
             }
             Phase::Held { until } if now >= until => {
-                self.end(now, attempt, End::Barred, "the hold lapsed");
+                self.end(now, attempt, End::NeverStarted, "the hold lapsed");
             }
             Phase::Running { until } if now >= until => {
                 self.stop(now, attempt, "the lease lapsed");
@@ -400,35 +413,42 @@
         }
     }
 
-    /// Attempts that still run or are held.
-    pub fn live(&self) -> BTreeSet<&id::Attempt> {
+    /// Attempts that have not ended.
+    pub fn live_attempts(&self) -> BTreeSet<&id::Attempt> {
         let live = self.members.iter().filter(|(_, member)| !member.is_ended());
         live.map(|(attempt, _)| attempt).collect()
     }
 
-    /// Checks that no accelerator is taken twice and that each guarantee can be reclaimed.
+    /// Checks that no accelerator is used twice and that each guarantee can be reclaimed.
     ///
     /// # Panics
-    /// When the ledger contradicts itself; the process must not go on.
+    /// When the state of the ledger is inconsistent; the process must not continue.
     pub fn assert_invariants(&self) {
         let taken: u32 = self
             .members
             .values()
-            .filter(|member| member.takes_room())
+            .filter(|member| member.uses_resources())
             .map(|member| member.need.accelerators)
             .sum();
-        assert!(taken <= self.capacity.accelerators, "accelerators taken twice: {taken}");
-        let bound: u32 = self.bound.values().sum();
-        assert!(bound <= self.capacity.accelerators, "more bound than there is: {bound}");
-        let is_settled = self.bound.iter().all(|(name, bound)| self.guaranteed_use(name) <= *bound);
         assert!(
-            !is_settled || self.can_reclaim(),
-            "a guaranteed gang waits for room that no reclaim can free"
+            taken <= self.capacity.accelerators,
+            "{taken} accelerators are in use, more than the worker has"
+        );
+        let bound: u32 = self.guarantees.values().sum();
+        assert!(
+            bound <= self.capacity.accelerators,
+            "{bound} accelerators are bound to guarantees, more than the worker has"
+        );
+        let fits_guarantees =
+            self.guarantees.iter().all(|(name, bound)| self.guaranteed_in_use(name) <= *bound);
+        assert!(
+            !fits_guarantees || self.can_reclaim(),
+            "a guaranteed gang waits for resources that reclaim can't free"
         );
     }
 }
 
-fn ran(now: Duration, member: &Member) -> Duration {
+fn run_time(now: Duration, member: &Member) -> Duration {
     match member.phase {
         Phase::Held { .. } => Duration::ZERO,
         _ => now.saturating_sub(member.started),
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -1,4 +1,5 @@
-//! The agent's state machine: messages and worker events in, effects out.
+//! The agent's state machine: handles messages and events of the worker and minion, and returns
+//! effects.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,52 +10,53 @@
 };
 
 use crate::{
-    contact, effect, effect::Effect, event::Event, following, gang, ledger, member, options, slots,
+    contact, effect, effect::Effect, event::Event, gang, ledger, member, options, planner, slots,
 };
 
-/// An entry of another region gets one heartbeat in so many: traffic between regions is paid
-/// for by volume.
-pub const FAR_HEARTBEAT: u64 = 4;
+/// Entries of other regions get only every n-th heartbeat, since traffic between regions is charged
+/// by volume.
+pub const REMOTE_HEARTBEAT_INTERVAL: u64 = 4;
 
-/// One agent.
+/// State of an agent.
 pub struct Machine {
     options: options::Options,
     contacts: contact::Contacts,
-    following: following::Following,
+    planner: planner::Tracker,
     ledger: ledger::Ledger,
     gangs: BTreeMap<id::Attempt, gang::Gang>,
     slots: slots::Slots,
     applied: Applied,
-    told: Load,
+    reported_load: Load,
     is_ready: bool,
     is_draining: bool,
     next_tick: Duration,
-    /// Heartbeats sent so far.
-    beats: u64,
-    /// Messages to itself: the lead is a member of its own gang.
-    local: Vec<frame::Body>,
+    /// Number of heartbeats sent so far.
+    heartbeats_sent: u64,
+    /// Messages to this agent itself: the coordinator is a member of its own gang.
+    local_messages: Vec<frame::Body>,
     effects: Vec<Effect>,
 }
 
 impl Machine {
-    /// Starts an agent. Until the worker has been reset it announces nothing and grants nothing:
-    /// an earlier life of this agent may have left tasks running that this one can't know.
+    /// Starts an agent. Until the worker has been reset it neither announces itself nor grants
+    /// holds: an earlier process of this agent may have left tasks running that this one can't
+    /// know.
     pub fn new(now: Duration, options: options::Options) -> (Self, Vec<Effect>) {
         let capacity = options.worker.as_ref().map(resource::Amount::of_worker).unwrap_or_default();
         let slots = options.minion.as_ref().map_or(0, |minion| minion.slots);
         let machine = Machine {
             contacts: contact::Contacts::new(now, &options.entries),
-            following: following::Following::default(),
-            ledger: ledger::Ledger::new(capacity, options.term(), options.memory),
+            planner: planner::Tracker::default(),
+            ledger: ledger::Ledger::new(capacity, options.member_lease(), options.memory),
             gangs: BTreeMap::new(),
             slots: slots::Slots::new(slots, options.memory),
             applied: Applied::default(),
-            told: Load::default(),
+            reported_load: Load::default(),
             is_ready: options.worker.is_none(),
             is_draining: false,
             next_tick: now,
-            beats: 0,
-            local: Vec::new(),
+            heartbeats_sent: 0,
+            local_messages: Vec::new(),
             effects: Vec::new(),
             options,
         };
@@ -62,10 +64,10 @@
         (machine, effects)
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the resulting effects.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         match event {
-            Event::Frame(envelope) => self.frame(now, *envelope),
+            Event::Frame(envelope) => self.handle_envelope(now, *envelope),
             Event::Tick => self.tick(now),
             Event::WorkerReset => self.is_ready = true,
             Event::TaskEnded(end) => {
@@ -77,11 +79,11 @@
             Event::MinionAnswered(response) => self.minion_answered(now, response),
             Event::Drain => self.drain(),
         }
-        self.settle(now);
+        self.process_changes(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Free and borrowed room, as announced.
+    /// Free and borrowed resources, as reported in heartbeats.
     pub fn load(&self) -> Load {
         let free = self.ledger.free();
         Load {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// What the ledger holds, for tests and invariants.
+    /// The ledger, for tests and for checks of invariants.
     pub fn ledger(&self) -> &ledger::Ledger {
         &self.ledger
     }
@@ -106,7 +108,7 @@
 
     fn send(&mut self, to: &Peer, body: frame::Body) {
         if to.name == self.options.me.name {
-            self.local.push(body);
+            self.local_messages.push(body);
             return;
         }
         let envelope = envelope::Envelope {
@@ -121,35 +123,36 @@
         self.effects.push(Effect::Log(line));
     }
 
-    /// Carries out what the ledger decided, and the messages to itself that follow from it.
-    fn settle(&mut self, now: Duration) {
+    /// Carries out the decisions of the ledger, and handles the messages to this agent itself that
+    /// result from them.
+    fn process_changes(&mut self, now: Duration) {
         loop {
             let changes = self.ledger.take_changes();
-            let local = std::mem::take(&mut self.local);
-            if changes.is_empty() && local.is_empty() {
+            let local_messages = std::mem::take(&mut self.local_messages);
+            if changes.is_empty() && local_messages.is_empty() {
                 break;
             }
             for change in changes {
-                self.change(now, change);
+                self.apply_change(now, change);
             }
-            for body in local {
+            for body in local_messages {
                 let me = self.options.me.clone();
-                self.body(now, &me, body);
+                self.handle_message(now, &me, body);
             }
         }
     }
 
-    fn change(&mut self, now: Duration, change: ledger::Change) {
+    fn apply_change(&mut self, now: Duration, change: ledger::Change) {
         match change {
             ledger::Change::Reply(attempt, state, reason) => {
-                let Some(planner) = self.planner_of(&attempt) else { return };
-                let word = hold_word(state);
+                let Some(planner) = self.planner_of_attempt(&attempt) else { return };
+                let word = hold_state_text(state);
                 self.log(format!("hold attempt={attempt} state={word} reason=\"{reason}\""));
                 let mut reply = HoldReply { attempt, reason, ..HoldReply::default() };
                 reply.set_state(state);
                 self.send(&planner, frame::Body::HoldReply(reply));
             }
-            ledger::Change::Start(attempt, lease) => self.start(now, &attempt, lease),
+            ledger::Change::Start(attempt, lease) => self.start_tasks(now, &attempt, lease),
             ledger::Change::Renew(attempt, left) => {
                 self.effects.push(Effect::RenewTasks(attempt, left));
             }
@@ -157,7 +160,7 @@
             ledger::Change::Stop(attempt) => self.effects.push(Effect::StopTasks(attempt)),
             ledger::Change::Ended(attempt) => {
                 self.log_end(&attempt);
-                self.beat(now, &attempt);
+                self.send_member_heartbeat(now, &attempt);
             }
         }
     }
@@ -173,13 +176,13 @@
         self.log(line);
     }
 
-    fn planner_of(&self, attempt: &str) -> Option<Peer> {
+    fn planner_of_attempt(&self, attempt: &str) -> Option<Peer> {
         let member = self.ledger.members().get(attempt);
         let planner = member.map(|member| member.planner.clone());
-        planner.filter(|planner| !planner.name.is_empty()).or(self.following.planner().cloned())
+        planner.filter(|planner| !planner.name.is_empty()).or(self.planner.peer().cloned())
     }
 
-    fn start(&mut self, now: Duration, attempt: &str, lease: Duration) {
+    fn start_tasks(&mut self, now: Duration, attempt: &str, lease: Duration) {
         let Some(member) = self.ledger.get_mut(attempt) else { return };
         let run = effect::Run {
             attempt: attempt.to_owned(),
@@ -190,95 +193,98 @@
         };
         self.effects.push(Effect::RunTasks(run));
         self.log(format!("start attempt={attempt}"));
-        self.beat(now, attempt);
+        self.send_member_heartbeat(now, attempt);
     }
 
     fn evict(&mut self, attempt: &str, grace: Duration) {
-        let Some(lead) = self.ledger.get_mut(attempt).map(|member| member.lead.clone()) else {
+        let Some(coordinator) =
+            self.ledger.get_mut(attempt).map(|member| member.coordinator.clone())
+        else {
             return;
         };
         self.log(format!("evict attempt={attempt} grace={grace:?}"));
         self.effects.push(Effect::CheckpointTasks(attempt.to_owned()));
         let grace_ms = u64::try_from(grace.as_millis()).unwrap_or(u64::MAX);
         let evict = Evict { attempt: attempt.to_owned(), grace_ms };
-        self.send(&lead, frame::Body::Evict(evict));
+        self.send(&coordinator, frame::Body::Evict(evict));
     }
 
-    fn beat(&mut self, now: Duration, attempt: &str) {
+    fn send_member_heartbeat(&mut self, now: Duration, attempt: &str) {
         let Some(member) = self.ledger.get_mut(attempt) else { return };
-        let lead = member.lead.clone();
-        if lead.name.is_empty() {
+        let coordinator = member.coordinator.clone();
+        if coordinator.name.is_empty() {
             return;
         }
         let mut beat = Beat {
             attempt: attempt.to_owned(),
-            sequence: member.beat(now),
+            sequence: member.next_heartbeat(now),
             exit_code: member.exit_code(),
             reason: member.reason.clone(),
             ..Beat::default()
         };
         beat.set_state(member.state());
-        self.send(&lead, frame::Body::Beat(beat));
+        self.send(&coordinator, frame::Body::Beat(beat));
     }
 
-    /// Takes a message. One that was meant for an earlier life of this process is dropped: its
-    /// sender relies on what that life knew.
-    fn frame(&mut self, now: Duration, envelope: envelope::Envelope) {
+    /// Handles a message. A message to an earlier process of this agent is dropped, since its
+    /// sender relies on what that process knew.
+    fn handle_envelope(&mut self, now: Duration, envelope: envelope::Envelope) {
         let mine = self.options.me.generation;
         if envelope.to_generation != 0 && envelope.to_generation != mine {
             return;
         }
-        self.body(now, &envelope.from, envelope.body);
+        self.handle_message(now, &envelope.from, envelope.body);
     }
 
-    fn body(&mut self, now: Duration, from: &Peer, body: frame::Body) {
+    fn handle_message(&mut self, now: Duration, from: &Peer, body: frame::Body) {
         match body {
             frame::Body::Welcome(welcome) => self.welcome(now, from, welcome),
-            frame::Body::Slice(slice) => self.slice(from, slice),
+            frame::Body::Slice(slice) => self.apply_slice(from, slice),
             frame::Body::Hold(hold) => self.hold(now, from, hold),
-            frame::Body::Decide(decide) => self.decide(now, from, decide),
+            frame::Body::Decide(decide) => self.start_gang(now, from, decide),
             frame::Body::Lease(lease) => self.lease(now, from, lease),
-            frame::Body::Beat(beat) => self.member_beat(now, from, beat),
+            frame::Body::Beat(beat) => self.receive_member_heartbeat(now, from, beat),
             frame::Body::Stop(stop) => {
-                self.ledger.bar(now, &stop.attempt, &stop.reason);
+                self.ledger.invalidate(now, &stop.attempt, &stop.reason);
             }
-            frame::Body::Evict(evict) => self.evicted(now, evict),
-            frame::Body::Bar(bar) => self.bar(now, from, bar),
+            frame::Body::Evict(evict) => self.receive_evict(now, evict),
+            frame::Body::Bar(bar) => self.invalidate(now, from, bar),
             frame::Body::Request(request) => self.request(now, from, request),
             _ => {}
         }
     }
 
-    fn obeys(&mut self, from: &Peer, epoch: Option<&Epoch>) -> bool {
+    fn accepts_planner(&mut self, from: &Peer, epoch: Option<&Epoch>) -> bool {
         let Some(epoch) = epoch else { return false };
-        let is_new = self.following.epoch() != Some(epoch);
-        let obeys = self.following.obeys(from, epoch);
-        if obeys && is_new {
+        let is_new = self.planner.epoch() != Some(epoch);
+        let accepts = self.planner.accepts(from, epoch);
+        if accepts && is_new {
             self.log(format!("follows planner={} epoch={}", from.name, epoch::text(epoch)));
         }
-        obeys
+        accepts
     }
 
     fn welcome(&mut self, now: Duration, from: &Peer, welcome: Welcome) {
-        self.contacts.hear(now, from, &welcome.region);
+        self.contacts.record_message(now, from, &welcome.region);
         for entry in &welcome.entries {
-            self.contacts.learn(now, entry);
+            self.contacts.add(now, entry);
         }
         if welcome.announce_again {
-            self.contacts.want(&from.address);
+            self.contacts.request_announcement(&from.address);
         }
         if let Some(epoch) = &welcome.planner {
-            self.obeys(from, Some(epoch));
+            self.accepts_planner(from, Some(epoch));
         }
     }
 
-    /// Puts the worker's part of the rules in force; never an older one than it has.
+    /// Applies the rules that concern this worker, unless they are older than those in force.
     ///
-    /// Guards against a planner that was frozen and, on waking, binds guarantees as if all
-    /// workers were lost: its term is below its successor's, whose slice counts as newer
-    /// whatever the versions are. Rules themselves never go back, by whichever planner.
-    fn slice(&mut self, from: &Peer, slice: Slice) {
-        if !self.obeys(from, slice.epoch.as_ref()) {
+    /// Guards against a planner that was paused and, when it resumes, binds guarantees as if all
+    /// workers were lost. Its term is lower than its successor's, and a slice of a higher term
+    /// counts as newer whatever its versions are. The revision of the rules never decreases,
+    /// whichever planner sends them.
+    fn apply_slice(&mut self, from: &Peer, slice: Slice) {
+        if !self.accepts_planner(from, slice.epoch.as_ref()) {
             return;
         }
         let Some(applied) = slice.applied else { return };
@@ -287,7 +293,7 @@
             return;
         }
         if let Err(reason) = self.ledger.apply(&slice) {
-            self.log(format!("slice refused rules={} reason=\"{reason}\"", applied.rules));
+            self.log(format!("slice of rules refused rules={} reason=\"{reason}\"", applied.rules));
             return;
         }
         self.applied = applied;
@@ -296,7 +302,7 @@
     }
 
     fn hold(&mut self, now: Duration, from: &Peer, hold: sapphire_wire::Hold) {
-        if !self.obeys(from, hold.epoch.as_ref()) {
+        if !self.accepts_planner(from, hold.epoch.as_ref()) {
             let mut reply = HoldReply { attempt: hold.attempt, ..HoldReply::default() };
             reply.reason = "another planner is followed here".to_owned();
             self.send(from, frame::Body::HoldReply(reply));
@@ -305,36 +311,45 @@
         self.ledger.hold(now, &hold, from);
     }
 
-    /// Records the decision to run a gang, if this agent still holds its own part of it.
-    fn decide(&mut self, now: Duration, from: &Peer, decide: Decide) {
-        if !self.obeys(from, decide.epoch.as_ref()) || self.gangs.contains_key(&decide.attempt) {
+    /// Records the decision to start a gang, if this agent still holds its own part of the gang.
+    fn start_gang(&mut self, now: Duration, from: &Peer, decide: Decide) {
+        if !self.accepts_planner(from, decide.epoch.as_ref())
+            || self.gangs.contains_key(&decide.attempt)
+        {
             return;
         }
         let phase = self.ledger.members().get(&decide.attempt).map(|member| &member.phase);
         let holds = matches!(phase, Some(member::Phase::Held { until }) if now < *until);
         if !holds {
-            self.log(format!("decision refused attempt={} reason=\"not held\"", decide.attempt));
+            self.log(format!(
+                "decision to start refused attempt={} reason=\"not held\"",
+                decide.attempt
+            ));
             return;
         }
-        let (gang, sends) = gang::Gang::decide(now, &decide.members);
-        self.log(format!("decided attempt={} members={}", decide.attempt, decide.members.len()));
+        let (gang, messages) = gang::Gang::start(now, &decide.members);
+        self.log(format!(
+            "decided to start attempt={} members={}",
+            decide.attempt,
+            decide.members.len()
+        ));
         self.gangs.insert(decide.attempt.clone(), gang);
-        self.send_gang(&decide.attempt, sends);
+        self.send_to_members(&decide.attempt, messages);
     }
 
-    fn send_gang(&mut self, attempt: &str, sends: Vec<gang::Send>) {
+    fn send_to_members(&mut self, attempt: &str, messages: Vec<gang::Message>) {
         let attempt = attempt.to_owned();
-        for send in sends {
+        for message in messages {
             let attempt = attempt.clone();
-            match send {
-                gang::Send::Lease(to, beat) => {
+            match message {
+                gang::Message::Lease(to, beat) => {
                     self.send(&to, frame::Body::Lease(Lease { attempt, beat }));
                 }
-                gang::Send::Evict(to) => {
+                gang::Message::Evict(to) => {
                     let evict = Evict { attempt, grace_ms: 0 };
                     self.send(&to, frame::Body::Evict(evict));
                 }
-                gang::Send::Stop(to, reason) => {
+                gang::Message::Stop(to, reason) => {
                     self.send(&to, frame::Body::Stop(Stop { attempt, reason }));
                 }
             }
@@ -342,7 +357,7 @@
     }
 
     fn lease(&mut self, now: Duration, from: &Peer, lease: Lease) {
-        let state = self.ledger.lease(now, &lease.attempt, lease.beat);
+        let state = self.ledger.apply_lease(now, &lease.attempt, lease.beat);
         if state != TaskState::TaskUnknown {
             return;
         }
@@ -352,8 +367,8 @@
         self.send(from, frame::Body::Beat(beat));
     }
 
-    fn member_beat(&mut self, now: Duration, from: &Peer, beat: Beat) {
-        let lease = self.options.term();
+    fn receive_member_heartbeat(&mut self, now: Duration, from: &Peer, beat: Beat) {
+        let lease = self.options.member_lease();
         let Some(gang) = self.gangs.get_mut(&beat.attempt) else {
             let reason = "the lead knows no such gang".to_owned();
             let stop = Stop { attempt: beat.attempt, reason };
@@ -361,53 +376,54 @@
             return;
         };
         let before = (gang.has_started(), gang.report(now, lease, &beat.attempt).state());
-        let sends = gang.beat(now, lease, from, &beat);
+        let messages = gang.record_heartbeat(now, lease, from, &beat);
         let after = (gang.has_started(), gang.report(now, lease, &beat.attempt).state());
-        self.send_gang(&beat.attempt, sends);
+        self.send_to_members(&beat.attempt, messages);
         if before != after {
             self.report(now, &beat.attempt);
         }
     }
 
-    /// A member asks the lead, or the lead asks a member, to checkpoint and end.
-    fn evicted(&mut self, now: Duration, evict: Evict) {
+    /// Handles a request to checkpoint and end, from a member to its coordinator or from the
+    /// coordinator to a member.
+    fn receive_evict(&mut self, now: Duration, evict: Evict) {
         if let Some(gang) = self.gangs.get_mut(&evict.attempt) {
-            let sends = gang.evict();
-            self.send_gang(&evict.attempt, sends);
+            let messages = gang.evict();
+            self.send_to_members(&evict.attempt, messages);
         }
         self.ledger.evict(now, &evict.attempt);
     }
 
-    fn bar(&mut self, now: Duration, from: &Peer, bar: Bar) {
+    fn invalidate(&mut self, now: Duration, from: &Peer, bar: Bar) {
         let state = match &bar.epoch {
-            None => self.slots.bar(now, &bar.attempt),
-            Some(_) if !self.obeys(from, bar.epoch.as_ref()) => return,
-            Some(_) => self.bar_gang(now, &bar.attempt),
+            None => self.slots.invalidate(now, &bar.attempt),
+            Some(_) if !self.accepts_planner(from, bar.epoch.as_ref()) => return,
+            Some(_) => self.invalidate_gang(now, &bar.attempt),
         };
         let mut reply = BarReply { attempt: bar.attempt, ..BarReply::default() };
         reply.set_state(state);
         self.send(from, frame::Body::BarReply(reply));
     }
 
-    fn bar_gang(&mut self, now: Duration, attempt: &str) -> TaskState {
-        let lease = self.options.term();
+    fn invalidate_gang(&mut self, now: Duration, attempt: &str) -> TaskState {
+        let lease = self.options.member_lease();
         if let Some(gang) = self.gangs.get_mut(attempt) {
             let report = gang.report(now, lease, attempt);
             if report.state() == GangState::GangRunning {
-                let sends = gang.stop_all("the planner stopped it");
-                self.send_gang(attempt, sends);
+                let messages = gang.stop_all("the planner stopped it");
+                self.send_to_members(attempt, messages);
             } else {
                 self.gangs.remove(attempt);
             }
         }
-        self.ledger.bar(now, attempt, "the planner stopped it")
+        self.ledger.invalidate(now, attempt, "the planner stopped it")
     }
 
     fn request(&mut self, now: Duration, from: &Peer, request: Request) {
         let attempt = request.attempt.clone();
-        match self.slots.take(now, request, from) {
-            slots::Decision::Taken(request) => self.ask_minion(request),
-            slots::Decision::Nothing => {}
+        match self.slots.admit(now, request, from) {
+            slots::Decision::Forward(request) => self.call_minion(request),
+            slots::Decision::NoReply => {}
             slots::Decision::Refused(reason) => {
                 let free_slots = self.slots.free();
                 let answer = Answer { attempt, reason, free_slots, ..Answer::default() };
@@ -416,7 +432,7 @@
         }
     }
 
-    fn ask_minion(&mut self, request: Request) {
+    fn call_minion(&mut self, request: Request) {
         let call = effect::Call {
             attempt: request.attempt,
             method: request.method,
@@ -445,8 +461,8 @@
                 answer.reason = failure.reason;
             }
         }
-        while let Some(request) = self.slots.next(now) {
-            self.ask_minion(request);
+        while let Some(request) = self.slots.next_request(now) {
+            self.call_minion(request);
         }
         answer.free_slots = self.slots.free();
         self.send(&caller, frame::Body::Answer(answer));
@@ -468,7 +484,7 @@
             return;
         }
         self.next_tick = now + self.options.heartbeat;
-        self.beat_members(now);
+        self.send_member_heartbeats(now);
         self.tick_gangs(now);
         if self.is_ready {
             self.heartbeat();
@@ -480,10 +496,12 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.ledger.live().is_empty() && self.gangs.is_empty() && self.slots.busy() == 0
+        self.ledger.live_attempts().is_empty()
+            && self.gangs.is_empty()
+            && self.slots.in_progress() == 0
     }
 
-    fn beat_members(&mut self, now: Duration) {
+    fn send_member_heartbeats(&mut self, now: Duration) {
         let due: Vec<id::Attempt> = self
             .ledger
             .members()
@@ -496,7 +514,7 @@
             .map(|(attempt, _)| attempt.clone())
             .collect();
         for attempt in due {
-            self.beat(now, &attempt);
+            self.send_member_heartbeat(now, &attempt);
         }
     }
 
@@ -504,8 +522,8 @@
         let attempts: Vec<id::Attempt> = self.gangs.keys().cloned().collect();
         for attempt in attempts {
             if let Some(gang) = self.gangs.get_mut(&attempt) {
-                let sends = gang.tick(now, self.options.term());
-                self.send_gang(&attempt, sends);
+                let messages = gang.tick(now, self.options.member_lease());
+                self.send_to_members(&attempt, messages);
                 self.report(now, &attempt);
             }
         }
@@ -513,17 +531,17 @@
 
     fn report(&mut self, now: Duration, attempt: &str) {
         let Some(gang) = self.gangs.get(attempt) else { return };
-        let report = gang.report(now, self.options.term(), attempt);
-        if let Some(planner) = self.following.planner().cloned() {
+        let report = gang.report(now, self.options.member_lease(), attempt);
+        if let Some(planner) = self.planner.peer().cloned() {
             self.send(&planner, frame::Body::Report(report));
         }
     }
 
-    /// Tells every entry what changed; announces to those that don't know this life.
+    /// Sends each entry what has changed, or an announcement if it does not know this process.
     fn heartbeat(&mut self) {
         let load = self.load();
-        let delta = (load != self.told).then_some(load);
-        self.told = load;
+        let delta = (load != self.reported_load).then_some(load);
+        self.reported_load = load;
         let heartbeat = Heartbeat { load: delta, applied: Some(self.applied) };
         let announce = Announce {
             region: self.options.region.clone(),
@@ -533,30 +551,30 @@
             load: Some(load),
             applied: Some(self.applied),
         };
-        let mut sends = Vec::new();
-        self.beats += 1;
+        let mut messages = Vec::new();
+        self.heartbeats_sent += 1;
         for contact in self.contacts.iter_mut() {
-            let is_far = !contact.region.is_empty() && contact.region != self.options.region;
-            if is_far && !self.beats.is_multiple_of(FAR_HEARTBEAT) {
+            let is_remote = !contact.region.is_empty() && contact.region != self.options.region;
+            if is_remote && !self.heartbeats_sent.is_multiple_of(REMOTE_HEARTBEAT_INTERVAL) {
                 continue;
             }
-            let body = if std::mem::take(&mut contact.wants_announcement) {
+            let body = if std::mem::take(&mut contact.needs_announcement) {
                 frame::Body::Announce(announce.clone())
-            } else if is_far {
-                // It missed the heartbeats before this one, and what changed with them.
+            } else if is_remote {
+                // The entry missed the heartbeats before this one, and the changes of load in them.
                 frame::Body::Heartbeat(Heartbeat { load: Some(load), ..heartbeat })
             } else {
                 frame::Body::Heartbeat(heartbeat)
             };
-            sends.push((peer::new(&contact.peer.name, &contact.peer.address, 0), body));
+            messages.push((peer::new(&contact.peer.name, &contact.peer.address, 0), body));
         }
-        for (to, body) in sends {
+        for (to, body) in messages {
             self.send(&to, body);
         }
     }
 }
 
-fn hold_word(state: HoldState) -> &'static str {
+fn hold_state_text(state: HoldState) -> &'static str {
     match state {
         HoldState::HoldGranted => "granted",
         HoldState::HoldEvicting => "evicting",
--- a/crates/agent/src/member.rs
+++ b/crates/agent/src/member.rs
@@ -1,93 +1,94 @@
-//! One gang's share of this worker.
+//! A gang's tasks on this worker.
 
 use std::{collections::VecDeque, time::Duration};
 
 use sapphire_wire::{Peer, TaskState, id, resource};
 
-/// Beats kept to match a lease to the time its beat was sent.
-const BEATS_KEPT: usize = 8;
+/// Number of recent member heartbeats whose send times are kept, to compute the end of a lease from
+/// the heartbeat that it answers.
+const HEARTBEATS_KEPT: usize = 8;
 
 /// How a member ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It never started and never will.
-    Barred,
-    /// Its program ended.
+    /// It was not started and can't be started any more.
+    NeverStarted,
+    /// Its program exited with this code.
     Exited(i32),
     /// It was stopped.
     Stopped,
 }
 
-/// Where a member stands.
+/// State of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Borrowers are being evicted for it.
+    /// Waits until borrowers have been evicted to free its resources.
     Waiting {
-        /// When it is refused after all.
+        /// When its hold is refused if the resources have not been freed.
         until: Duration,
     },
-    /// Room is kept for it.
+    /// Its resources are reserved.
     Held {
-        /// When the hold lapses.
+        /// When the reservation expires.
         until: Duration,
     },
     /// Its tasks run.
     Running {
-        /// When the lease lapses.
+        /// When the lease expires.
         until: Duration,
     },
-    /// Its tasks run, but the room has been reclaimed.
+    /// Its tasks run, but its resources have been reclaimed.
     Evicting {
-        /// When the tasks are stopped at the latest.
+        /// When the grace period ends and the tasks are stopped.
         stop_at: Duration,
-        /// When the lease lapses; never later than that.
+        /// When the lease expires; never later than `stop_at`.
         until: Duration,
     },
     /// The worker was asked to stop its tasks.
     Stopping,
-    /// Nothing runs; kept so that late messages can't start it.
+    /// Nothing runs. Kept for a while so that delayed messages can't start it.
     Ended {
         /// How it ended.
         end: End,
-        /// When it may be forgotten.
+        /// When it may be removed.
         forget_at: Duration,
     },
 }
 
-/// One gang's share of this worker.
+/// A gang's tasks on this worker, which are reserved, started and stopped together.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Organisation it runs for.
+    /// Organisation that the gang runs for.
     pub organisation: id::Organisation,
-    /// It uses accelerators bound to its organisation.
+    /// Whether it uses accelerators bound to its organisation's guarantee.
     pub is_guaranteed: bool,
-    /// What it takes.
+    /// Resources that its tasks use on this worker.
     pub need: resource::Amount,
-    /// Accelerators of the whole gang.
-    pub gang: u32,
-    /// Tasks on this worker.
+    /// Accelerators of the entire gang, on all its workers.
+    pub gang_accelerators: u32,
+    /// Number of tasks on this worker.
     pub tasks: u32,
     /// Agent that coordinates the gang.
-    pub lead: Peer,
-    /// Planner that asked for the hold.
+    pub coordinator: Peer,
+    /// Planner that sent the hold.
     pub planner: Peer,
-    /// Program.
+    /// Command that each task runs.
     pub command: String,
-    /// Where it stands.
+    /// Current state.
     pub phase: Phase,
     /// When its tasks started.
     pub started: Duration,
-    /// Reason of the end, in words.
+    /// Why it ended, as text.
     pub reason: String,
-    /// The lead knows of the end.
+    /// Whether the coordinator has acknowledged the end.
     pub is_acknowledged: bool,
-    /// Number of the last beat.
+    /// Sequence number of the last member heartbeat.
     pub sequence: u64,
-    beats: VecDeque<(u64, Duration)>,
+    recent_heartbeats: VecDeque<(u64, Duration)>,
 }
 
 impl Member {
-    /// Starts a member in the given phase.
+    /// Creates a member in the given state.
     pub fn new(
         hold: &sapphire_wire::Hold,
         planner: &Peer,
@@ -98,9 +99,11 @@
             organisation: hold.organisation.clone(),
             is_guaranteed: hold.guaranteed,
             need,
-            gang: hold.shape.map_or(0, |shape| shape.accelerators.saturating_mul(shape.tasks)),
+            gang_accelerators: hold
+                .shape
+                .map_or(0, |shape| shape.accelerators.saturating_mul(shape.tasks)),
             tasks: hold.tasks,
-            lead: hold.lead.clone().unwrap_or_default(),
+            coordinator: hold.lead.clone().unwrap_or_default(),
             planner: planner.clone(),
             command: hold.command.clone(),
             phase,
@@ -108,22 +111,22 @@
             reason: String::new(),
             is_acknowledged: false,
             sequence: 0,
-            beats: VecDeque::new(),
+            recent_heartbeats: VecDeque::new(),
         }
     }
 
-    /// A member that was barred before its hold arrived.
-    pub fn barred(forget_at: Duration) -> Self {
+    /// Creates the record of an attempt that was barred before its hold arrived.
+    pub fn tombstone(forget_at: Duration) -> Self {
         let hold = sapphire_wire::Hold::default();
-        let phase = Phase::Ended { end: End::Barred, forget_at };
+        let phase = Phase::Ended { end: End::NeverStarted, forget_at };
         let need = resource::Amount::default();
         let mut member = Member::new(&hold, &Peer::default(), need, phase);
         member.is_acknowledged = true;
         member
     }
 
-    /// Whether it takes room on the worker.
-    pub fn takes_room(&self) -> bool {
+    /// Whether it uses or reserves resources of the worker.
+    pub fn uses_resources(&self) -> bool {
         !matches!(self.phase, Phase::Waiting { .. } | Phase::Ended { .. })
     }
 
@@ -132,20 +135,20 @@
         matches!(self.phase, Phase::Ended { .. })
     }
 
-    /// State as told to others.
+    /// State as reported to the coordinator and the planner.
     pub fn state(&self) -> TaskState {
         match &self.phase {
             Phase::Waiting { .. } | Phase::Held { .. } => TaskState::TaskHeld,
             Phase::Running { .. } | Phase::Evicting { .. } | Phase::Stopping => {
                 TaskState::TaskRunning
             }
-            Phase::Ended { end: End::Barred, .. } => TaskState::TaskBarred,
+            Phase::Ended { end: End::NeverStarted, .. } => TaskState::TaskBarred,
             Phase::Ended { end: End::Exited(_), .. } => TaskState::TaskExited,
             Phase::Ended { end: End::Stopped, .. } => TaskState::TaskStopped,
         }
     }
 
-    /// Exit code, 0 unless the program ended with another.
+    /// Exit code of the program; 0 if it has none.
     pub fn exit_code(&self) -> i32 {
         match &self.phase {
             Phase::Ended { end: End::Exited(code), .. } => *code,
@@ -153,18 +156,18 @@
         }
     }
 
-    /// Numbers a new beat and remembers when it was sent.
-    pub fn beat(&mut self, now: Duration) -> u64 {
+    /// Assigns the next heartbeat's sequence number and records its send time.
+    pub fn next_heartbeat(&mut self, now: Duration) -> u64 {
         self.sequence += 1;
-        self.beats.push_back((self.sequence, now));
-        if self.beats.len() > BEATS_KEPT {
-            self.beats.pop_front();
+        self.recent_heartbeats.push_back((self.sequence, now));
+        if self.recent_heartbeats.len() > HEARTBEATS_KEPT {
+            self.recent_heartbeats.pop_front();
         }
         self.sequence
     }
 
-    /// When a beat was sent; none for one that is too old or was never sent.
-    pub fn beat_time(&self, sequence: u64) -> Option<Duration> {
-        self.beats.iter().find(|(number, _)| *number == sequence).map(|(_, at)| *at)
+    /// Send time of a heartbeat; `None` if it is too old or was never sent.
+    pub fn heartbeat_time(&self, sequence: u64) -> Option<Duration> {
+        self.recent_heartbeats.iter().find(|(number, _)| *number == sequence).map(|(_, at)| *at)
     }
 }
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -1,40 +1,43 @@
-//! What an agent is told at its start.
+//! Configuration of an agent.
 
 use std::time::Duration;
 
 use sapphire_wire::{Minion, Peer, Worker, id};
 
-/// Settings of one agent, checked by the caller.
+/// Settings of one agent; the caller has validated them.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This process, with the generation of this start.
+    /// Name, address and generation of this process.
     pub me: Peer,
-    /// Region it runs in.
+    /// Region in which it runs.
     pub region: String,
-    /// Availability zone it runs in.
+    /// Availability zone in which it runs.
     pub zone: String,
-    /// Worker it guards, if any.
+    /// Worker that it manages, if any.
     pub worker: Option<Worker>,
-    /// Minion it guards, if any.
+    /// Minion that it manages, if any.
     pub minion: Option<Minion>,
     /// Entries to announce to at the start.
     pub entries: Vec<id::Address>,
-    /// Interval of heartbeats, beats and reports.
+    /// Interval of heartbeats to entries, of member heartbeats within gangs, and of reports to the
+    /// planner.
     pub heartbeat: Duration,
-    /// Silence after which a process is suspected.
+    /// Time without a message after which a process is suspected of having failed.
     pub silence: Duration,
-    /// Lease of a running gang.
+    /// Lease of a running gang: longest time for which it may run with some of its tasks lost.
     pub lease: Duration,
-    /// How long ended attempts are remembered, so that late messages can't start them.
+    /// How long ended attempts are remembered, so that delayed messages can't start them again.
     pub memory: Duration,
 }
 
 impl Options {
-    /// Time for which one renewal counts, and silence after which a member is taken as lost.
+    /// Lease that one renewal grants to a member, and silence after which its coordinator declares
+    /// it lost.
     ///
-    /// Half the lease: the first half passes until a lost member is noticed, the second until
-    /// what remains has stopped, so that a gang runs in part for one lease at most.
-    pub fn term(&self) -> Duration {
+    /// This is half of the gang's lease: the first half passes until a lost member is noticed, the
+    /// second until the remaining tasks have stopped. A gang thus runs incomplete for at most one
+    /// lease.
+    pub fn member_lease(&self) -> Duration {
         self.lease / 2
     }
 }
--- a/crates/agent/src/following.rs
+++ b/crates/agent/src/planner.rs
@@ -1,20 +1,21 @@
-//! Which planner an agent follows.
+//! Planner whose orders the agent accepts.
 
 use sapphire_wire::{Epoch, Peer, epoch};
 
-/// The planner followed.
+/// Planner with the highest epoch seen so far.
 #[derive(Debug, Default)]
-pub struct Following {
+pub struct Tracker {
     epoch: Option<Epoch>,
     planner: Option<Peer>,
 }
 
-impl Following {
-    /// Whether a planner's message is to be obeyed; follows a newer planner.
+impl Tracker {
+    /// Whether a planner's message is to be accepted; a planner with a higher epoch replaces the
+    /// current one.
     ///
-    /// Guards against a planner that was paused past its lease and returns: its epoch is below
-    /// the one followed, so it is refused.
-    pub fn obeys(&mut self, from: &Peer, offered: &Epoch) -> bool {
+    /// Guards against a planner that was paused past its lease and resumes: its epoch is lower than
+    /// the current one, so its messages are rejected.
+    pub fn accepts(&mut self, from: &Peer, offered: &Epoch) -> bool {
         let is_current = self.epoch.as_ref() == Some(offered);
         if !is_current && !epoch::is_above(offered, self.epoch.as_ref()) {
             return false;
@@ -24,12 +25,12 @@
         true
     }
 
-    /// The planner to report to.
-    pub fn planner(&self) -> Option<&Peer> {
+    /// The current planner, to which reports are sent.
+    pub fn peer(&self) -> Option<&Peer> {
         self.planner.as_ref()
     }
 
-    /// Epoch followed.
+    /// Epoch of the current planner.
     pub fn epoch(&self) -> Option<&Epoch> {
         self.epoch.as_ref()
     }
--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -1,4 +1,5 @@
-//! The minion's slots, the short queue before them, and which request attempts took one.
+//! Slots of the minion, the short queue in front of them, and the request attempts that have been
+//! seen.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,21 +8,21 @@
 
 use sapphire_wire::{Peer, Request, TaskState, id};
 
-/// Whether a request may go to the minion.
+/// What to do with a request that has arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// A slot is taken for it.
-    Taken(Request),
-    /// It waits for a slot, or was seen before: nothing is to be said now.
-    Nothing,
-    /// It never ran and never will.
+    /// Forward it to the minion; a slot has been assigned to it.
+    Forward(Request),
+    /// Send no reply now: it waits for a slot, or it is a repeated message.
+    NoReply,
+    /// It has not run and will not run, for this reason.
     Refused(String),
 }
 
-/// Ended attempts remembered, at most; about 2 MB.
+/// Largest number of ended attempts that are remembered; about 2 MB.
 ///
-/// They guard against a request that arrives after its bar, or twice. Messages of one entry
-/// come in order over one connection, so only the most recent can matter.
+/// They guard against a request that arrives twice, or after it was barred. Messages of one entry
+/// arrive in order over one connection, so only the most recent attempts can matter.
 const MAX_ENDED: usize = 16_384;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -30,50 +31,50 @@
     Running { caller: Peer },
 }
 
-/// An attempt that runs no more.
+/// An attempt that no longer waits or runs.
 #[derive(Clone, Debug, PartialEq)]
 struct Ended {
     attempt: id::Attempt,
     forget_at: Duration,
 }
 
-/// Slots of one minion, with as many places to wait: a slot that comes free is taken again
-/// without a message to an entry and back.
+/// Slots of one minion and as many queue places: a slot that is released is reused at once, without
+/// a round trip to an entry.
 #[derive(Debug)]
 pub struct Slots {
     total: u32,
-    memory: Duration,
+    retention: Duration,
     is_draining: bool,
     live: BTreeMap<id::Attempt, State>,
-    /// Whether each ended attempt was barred, rather than run.
+    /// Whether each ended attempt was barred before it ran.
     ended: BTreeMap<id::Attempt, bool>,
-    forgetting: VecDeque<Ended>,
+    removals: VecDeque<Ended>,
     queue: VecDeque<Request>,
     running: u32,
 }
 
 impl Slots {
-    /// All slots free.
-    pub fn new(total: u32, memory: Duration) -> Self {
+    /// Creates slots that are all free.
+    pub fn new(total: u32, retention: Duration) -> Self {
         Slots {
             total,
-            memory,
+            retention,
             is_draining: false,
             live: BTreeMap::new(),
             ended: BTreeMap::new(),
-            forgetting: VecDeque::new(),
+            removals: VecDeque::new(),
             queue: VecDeque::new(),
             running: 0,
         }
     }
 
-    /// Decides on a request. A refusal bars the attempt, so that "not run" stays true even if
-    /// the same message arrives once more.
-    pub fn take(&mut self, now: Duration, request: Request, caller: &Peer) -> Decision {
+    /// Decides on a request. A refusal also bars the attempt, so that the answer "not run" stays
+    /// true even if the same message arrives once more.
+    pub fn admit(&mut self, now: Duration, request: Request, caller: &Peer) -> Decision {
         match self.ended.get(&request.attempt) {
             Some(true) => return Decision::Refused("the attempt was barred".to_owned()),
-            Some(false) => return Decision::Nothing,
-            None if self.live.contains_key(&request.attempt) => return Decision::Nothing,
+            Some(false) => return Decision::NoReply,
+            None if self.live.contains_key(&request.attempt) => return Decision::NoReply,
             None => {}
         }
         let refusal = if self.is_draining {
@@ -84,7 +85,7 @@
             None
         };
         if let Some(reason) = refusal {
-            self.bar(now, &request.attempt);
+            self.invalidate(now, &request.attempt);
             return Decision::Refused(reason.to_owned());
         }
         let caller = caller.clone();
@@ -92,15 +93,15 @@
         if self.running < self.total {
             self.running += 1;
             self.live.insert(attempt, State::Running { caller });
-            return Decision::Taken(request);
+            return Decision::Forward(request);
         }
         let until = now + Duration::from_millis(request.left_ms);
         self.live.insert(attempt, State::Waiting { caller, until });
         self.queue.push_back(request);
-        Decision::Nothing
+        Decision::NoReply
     }
 
-    /// Frees the slot of an attempt and returns the entry that waits for its answer.
+    /// Releases the slot of an attempt and returns the entry that waits for its answer.
     pub fn release(&mut self, now: Duration, attempt: &str) -> Option<Peer> {
         let State::Running { caller } = self.live.get(attempt)? else { return None };
         let caller = caller.clone();
@@ -112,14 +113,14 @@
     fn end(&mut self, now: Duration, attempt: &str, is_barred: bool) {
         self.live.remove(attempt);
         if self.ended.insert(attempt.to_owned(), is_barred).is_none() {
-            let forget_at = now + self.memory;
-            self.forgetting.push_back(Ended { attempt: attempt.to_owned(), forget_at });
+            let forget_at = now + self.retention;
+            self.removals.push_back(Ended { attempt: attempt.to_owned(), forget_at });
         }
     }
 
-    /// The next waiting request, when a slot is free; it takes the slot. One whose deadline has
+    /// Assigns a free slot to the next waiting request and returns it. A request whose deadline has
     /// passed is barred instead.
-    pub fn next(&mut self, now: Duration) -> Option<Request> {
+    pub fn next_request(&mut self, now: Duration) -> Option<Request> {
         while self.running < self.total {
             let mut request = self.queue.pop_front()?;
             let state = self.live.get(&request.attempt).cloned();
@@ -136,8 +137,9 @@
         None
     }
 
-    /// Refuses an attempt for good, unless it runs or ran.
-    pub fn bar(&mut self, now: Duration, attempt: &str) -> TaskState {
+    /// Bars an attempt, so that it can't run later, and returns its state. Has no effect on an
+    /// attempt that runs or has run.
+    pub fn invalidate(&mut self, now: Duration, attempt: &str) -> TaskState {
         if matches!(self.live.get(attempt), Some(State::Running { .. })) {
             return TaskState::TaskRunning;
         }
@@ -149,33 +151,36 @@
         TaskState::TaskBarred
     }
 
-    /// Refuses everything from now on; what waits is still served.
+    /// Refuses all new requests; those that wait are still served.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
 
-    /// Slots and places to wait that are free.
+    /// Number of free slots and free queue places.
     pub fn free(&self) -> u32 {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
         (self.total * 2).saturating_sub(self.running).saturating_sub(waiting)
     }
 
-    /// Requests that the minion is answering, or that wait for it.
-    pub fn busy(&self) -> usize {
+    /// Number of requests that the minion is serving or that wait for a slot.
+    pub fn in_progress(&self) -> usize {
         self.running as usize + self.queue.len()
     }
 
-    /// Forgets attempts that ended long ago, or too many.
+    /// Removes attempts that ended long ago, and the oldest when there are too many.
     pub fn tick(&mut self, now: Duration) {
-        while self.forgetting.len() > MAX_ENDED
-            || self.forgetting.front().is_some_and(|ended| now >= ended.forget_at)
+        while self.removals.len() > MAX_ENDED
+            || self.removals.front().is_some_and(|ended| now >= ended.forget_at)
         {
-            let Some(oldest) = self.forgetting.pop_front() else { break };
+            let Some(oldest) = self.removals.pop_front() else { break };
             self.ended.remove(&oldest.attempt);
         }
         let is_running = |state: &&State| matches!(state, State::Running { .. });
         let running = self.live.values().filter(is_running).count();
-        assert_eq!(running, self.running as usize, "slots are counted wrongly");
-        assert!(self.running <= self.total, "a slot is taken twice");
+        assert_eq!(
+            running, self.running as usize,
+            "the number of running requests differs from the used slots"
+        );
+        assert!(self.running <= self.total, "more requests run than there are slots");
     }
 }
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's own decisions.
+//! Tests of the agent's ledger and slots.
 
 mod ledger;
 mod slots;
--- a/crates/agent/tests/ledger/mod.rs
+++ b/crates/agent/tests/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! What a worker's accelerators are given to, and when that lapses.
+//! Tests of how a worker's accelerators are reserved, and when reservations and leases expire.
 
 use std::time::Duration;
 
@@ -47,39 +47,39 @@
     replies.collect()
 }
 
-/// A renewal is held up in the network and arrives late, when its lead has long stopped the
-/// gang. It counts from the beat that it answers, so it extends nothing, and the task stops.
+/// A lease renewal is delayed in the network until its coordinator has long stopped the gang. It
+/// counts from the heartbeat that it answers, so it extends nothing, and the task stops.
 #[test]
 fn a_late_renewal_extends_nothing() {
     let mut ledger = ledger();
     ledger.hold(SECOND, &hold("j/1", "archive", 4, false), &planner());
-    ledger.lease(SECOND, "j/1", 0);
-    let beat = ledger.get_mut("j/1").expect("held").beat(SECOND);
-    ledger.lease(SECOND + SECOND * 9 / 10, "j/1", beat);
+    ledger.apply_lease(SECOND, "j/1", 0);
+    let heartbeat = ledger.get_mut("j/1").expect("held").next_heartbeat(SECOND);
+    ledger.apply_lease(SECOND + SECOND * 9 / 10, "j/1", heartbeat);
     assert_matches!(ledger.members()["j/1"].phase, Phase::Running { until } if until == SECOND * 2);
     ledger.tick(SECOND * 2);
     assert_eq!(ledger.members()["j/1"].phase, Phase::Stopping);
 }
 
-/// The planner bars an attempt whose hold is still on its way. The caller is told "not run", so
-/// the hold is refused when it arrives, and so is a lease.
+/// The planner bars an attempt whose hold is still on its way. Since the caller is answered "not
+/// run", the hold is refused when it arrives, and so is a lease.
 #[test]
 fn a_hold_that_arrives_after_its_bar_is_refused() {
     let mut ledger = ledger();
-    assert_eq!(ledger.bar(SECOND, "j/1", "settling"), TaskState::TaskBarred);
+    assert_eq!(ledger.invalidate(SECOND, "j/1", "settling"), TaskState::TaskBarred);
     ledger.hold(SECOND, &hold("j/1", "archive", 4, false), &planner());
     assert_matches!(replies(&mut ledger).as_slice(), [(HoldState::HoldRefused, _)]);
-    assert_eq!(ledger.lease(SECOND, "j/1", 0), TaskState::TaskBarred);
+    assert_eq!(ledger.apply_lease(SECOND, "j/1", 0), TaskState::TaskBarred);
     assert_eq!(ledger.free().accelerators, 8);
 }
 
-/// The agent is asked to leave. A planner that has not heard of it yet still sends a hold, for a
-/// guaranteed gang even: it is refused, and what runs goes on.
+/// An agent shuts down gracefully while a planner that does not know it yet still sends a hold. The
+/// hold is refused even for a guaranteed gang, and running tasks continue.
 #[test]
 fn a_draining_agent_refuses_holds_and_stops_nothing() {
     let mut ledger = ledger();
     ledger.hold(SECOND, &hold("b/1", "archive", 4, false), &planner());
-    ledger.lease(SECOND, "b/1", 0);
+    ledger.apply_lease(SECOND, "b/1", 0);
     ledger.drain();
     ledger.take_changes();
     ledger.hold(SECOND, &hold("g/1", "review", 8, true), &planner());
@@ -88,8 +88,8 @@
     assert_matches!(ledger.members()["b/1"].phase, Phase::Running { .. });
 }
 
-/// A borrower's checkpoint takes longer than a lease. It may go on to the end of the grace
-/// period, and not a moment longer, whatever leases still arrive.
+/// A borrower's checkpoint takes longer than a lease. Renewals keep the tasks running until the end
+/// of the grace period and no longer.
 #[test]
 fn a_slow_checkpoint_has_the_whole_grace_period() {
     let mut ledger = ledger();
@@ -100,13 +100,13 @@
     };
     ledger.apply(&slow).expect("it fits");
     ledger.hold(SECOND, &hold("b/1", "archive", 8, false), &planner());
-    ledger.lease(SECOND, "b/1", 0);
+    ledger.apply_lease(SECOND, "b/1", 0);
     ledger.hold(SECOND, &hold("g/1", "review", 8, true), &planner());
     for tenth in 10..80 {
         let now = SECOND * tenth / 10;
         if let Some(member) = ledger.get_mut("b/1") {
-            let beat = member.beat(now);
-            ledger.lease(now, "b/1", beat);
+            let heartbeat = member.next_heartbeat(now);
+            ledger.apply_lease(now, "b/1", heartbeat);
         }
         let is_renewed =
             ledger.take_changes().iter().any(|change| matches!(change, Change::Renew(..)));
@@ -121,7 +121,7 @@
 fn a_guarantee_is_reclaimed_from_borrowers_and_no_further() {
     let mut ledger = ledger();
     ledger.hold(SECOND, &hold("b/1", "archive", 8, false), &planner());
-    ledger.lease(SECOND, "b/1", 0);
+    ledger.apply_lease(SECOND, "b/1", 0);
     ledger.take_changes();
     ledger.hold(SECOND * 2, &hold("g/1", "review", 8, true), &planner());
     assert_matches!(
@@ -137,8 +137,8 @@
     assert_matches!(refused.as_slice(), [(HoldState::HoldRefused, reason)] if reason.contains("8 of 8"));
 }
 
-/// A gang asks for one guaranteed accelerator and all processors. Were it granted, the other
-/// guarantees on the worker would be worthless.
+/// A gang requests one guaranteed accelerator and more than its share of the processors. Granting
+/// it would make the other guarantees on the worker impossible to honour.
 #[test]
 fn a_guaranteed_gang_takes_no_more_than_its_share_of_processors() {
     let mut ledger = ledger();
