--- a/crates/agent/src/gang.rs
+++ b/crates/agent/src/gang.rs
@@ -155,9 +155,8 @@
     /// Repeats unanswered messages, and stops the gang when a member has been silent for a lease.
     pub fn tick(&mut self, now: Duration, lease: Duration) -> Vec<Message> {
         if self.cause.is_none() {
-            let is_lost = |status: &&Status| {
-                !is_final(status.state) && now.saturating_sub(status.last_contact) >= lease
-            };
+            let is_lost =
+                |m: &&Status| !is_final(m.state) && now.saturating_sub(m.last_contact) >= lease;
             let lost = self.members.values().find(is_lost).map(|status| status.peer.name.clone());
             if let Some(name) = lost {
                 let reason = format!("{name} has been silent for a lease");
@@ -181,9 +180,9 @@
     /// lease and the worker's lease after it must have expired.
     pub fn has_stopped(&self, now: Duration, lease: Duration) -> bool {
         let silent = lease * STOPPED_AFTER_LEASES;
-        self.members.values().all(|status| {
-            is_final(status.state) || now.saturating_sub(status.last_contact) >= silent
-        })
+        self.members
+            .values()
+            .all(|m| is_final(m.state) || now.saturating_sub(m.last_contact) >= silent)
     }
 
     /// Report on the gang for the planner.
