--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a cell accepts a job.
+//! Decides whether a cell accepts a job.
 
 use std::time::Duration;
 
@@ -8,50 +8,51 @@
 
 use crate::{job_table::JobTable, view};
 
-/// When a caller refused for a full queue, or a store that is out, may come back.
-pub const RETRY: Duration = Duration::from_secs(5);
+/// Time after which a caller that was refused because a queue is full or the store is unavailable
+/// may retry.
+pub const RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// What admission looks at.
+/// Data that admission is based on.
 pub struct Options<'a> {
     /// Rules in force.
     pub rules: &'a file::File,
-    /// All workers of the cell, with what is bound and nothing taken.
+    /// All workers of the cell, with bound accelerators marked and no resources in use.
     pub fleet: &'a fleet::Fleet,
     /// Jobs of the cell.
     pub table: &'a JobTable,
-    /// Jobs that the cell may hold, ended ones left out.
+    /// Maximum number of jobs in the cell that have not ended.
     pub max_jobs: usize,
 }
 
 /// Why a job is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Reason in words.
+    /// Reason as text.
     pub reason: String,
-    /// When to come back, where that helps.
-    pub retry: Option<Duration>,
+    /// Time after which a retry may succeed, if it ever can.
+    pub retry_after: Option<Duration>,
 }
 
-fn never(reason: impl Into<String>) -> Error {
-    Error { reason: reason.into(), retry: None }
+fn permanent(reason: impl Into<String>) -> Error {
+    Error { reason: reason.into(), retry_after: None }
 }
 
-fn later(reason: impl Into<String>) -> Error {
-    Error { reason: reason.into(), retry: Some(RETRY) }
+fn temporary(reason: impl Into<String>) -> Error {
+    Error { reason: reason.into(), retry_after: Some(RETRY_AFTER) }
 }
 
-/// Accepts a job, or says why not.
+/// Checks whether a job is accepted.
 ///
 /// # Errors
-/// When its organisation is not in the rules, it can never run here, or there is no place for it
+/// When its organisation is not in the rules, the job can never run here, or a limit is reached
 /// now.
 pub fn admit(job: &Job, options: &Options<'_>) -> Result<(), Error> {
     let name = &job.organisation;
     if options.rules.organisation(name).is_none() {
-        return Err(never(format!("organisation `{name}` is not in the rules")));
+        return Err(permanent(format!("organisation `{name}` is not in the rules")));
     }
     if options.table.is_failing() {
-        return Err(later("the store does not answer, so the job can't be kept"));
+        return Err(temporary("the store does not answer, so the job can't be kept"));
     }
     check_size(job, options)?;
     let is_waiting = |job: &&Job| job.state() == JobState::JobWaiting;
@@ -59,11 +60,11 @@
     let own = waiting.filter(|other| other.organisation == *name).count();
     let limit = options.rules.queue(name) as usize;
     if own >= limit {
-        return Err(later(format!("{own} jobs of `{name}` wait; the limit is {limit}")));
+        return Err(temporary(format!("{own} jobs of `{name}` wait; the limit is {limit}")));
     }
     let live = options.table.values().filter(|job| !view::is_ended(job.state())).count();
     if live >= options.max_jobs {
-        return Err(later("the cell holds as many jobs as it may"));
+        return Err(temporary("the cell holds as many jobs as it may"));
     }
     Ok(())
 }
@@ -73,14 +74,14 @@
     if !options.fleet.could_hold(&shape) {
         let reason = "no set of workers here can ever hold this shape";
         let knows_none = options.fleet.workers.is_empty();
-        return Err(if knows_none { later(reason) } else { never(reason) });
+        return Err(if knows_none { temporary(reason) } else { permanent(reason) });
     }
     let quota = options.rules.quota(&job.organisation).unwrap_or(u32::MAX);
     let guaranteed = place::Options::guaranteed(&job.organisation, &shape);
     let is_guaranteed = || place::place(options.fleet, &guaranteed).is_some();
     if queue::accelerators(job) > quota && !is_guaranteed() {
         let reason = format!("larger than its organisation's guarantee and quota of {quota}");
-        return Err(never(reason));
+        return Err(permanent(reason));
     }
     Ok(())
 }
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, each with a true account.
+//! Answers to callers. Each states in its account whether the request or job ran.
 
 use std::{fmt, time::Duration};
 
@@ -6,12 +6,12 @@
 use sapphire_wire::Header;
 use serde_json::json;
 
-/// What became of a caller's request or job.
+/// Outcome of a caller's request or job, as stated to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Account {
-    /// It ran and this is its whole answer.
+    /// It ran, and this is its complete answer.
     Done,
-    /// It did not run and will not.
+    /// It did not run and will not run.
     NotRun,
     /// It ran in part, or its answer was cut off.
     Interrupted,
@@ -32,15 +32,15 @@
 
 /// Header that carries the account.
 pub const ACCOUNT: &str = "Sapphire-Account";
-/// Header that carries the attempt.
+/// Header that carries the identifier of the attempt.
 pub const ATTEMPT: &str = "Sapphire-Attempt";
 
-/// One answer.
+/// An HTTP answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers, besides the length.
+    /// Headers, except Content-Length.
     pub headers: Vec<Header>,
     /// Body.
     pub body: Bytes,
@@ -51,14 +51,14 @@
 }
 
 impl Answer {
-    /// A JSON answer.
+    /// Creates a JSON answer.
     pub fn json(status: u16, value: &serde_json::Value) -> Self {
         let body = Bytes::from(format!("{value}\n"));
         let headers = vec![header("Content-Type", "application/json")];
         Answer { status, headers, body }
     }
 
-    /// A refusal or failure with its reason and account.
+    /// Creates an answer for a refusal or failure, with its reason and account.
     pub fn failure(status: u16, account: Account, reason: &str) -> Self {
         let value = json!({ "account": account.to_string(), "reason": reason });
         Answer::json(status, &value).with(ACCOUNT, account.to_string())
@@ -70,7 +70,7 @@
         self
     }
 
-    /// Tells the caller when to come back, in whole seconds.
+    /// Adds a Retry-After header, in whole seconds rounded up.
     pub fn retry_after(self, wait: Duration) -> Self {
         let seconds = wait.as_millis().div_ceil(1_000).max(1);
         self.with("Retry-After", seconds.to_string())
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -1,4 +1,4 @@
-//! Calls of callers and operators, parsed from HTTP.
+//! HTTP interface for callers and operators: parses requests into calls.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 
 /// Header with the caller's deadline, a duration such as `5s`.
 pub const DEADLINE: &str = "Sapphire-Deadline";
-/// Header that says whether a request may run twice: `true` or `false`.
+/// Header that states whether a request may run more than once: `true` or `false`.
 pub const IDEMPOTENT: &str = "Sapphire-Idempotent";
-/// Largest gang.
+/// Maximum number of tasks of a gang.
 const MAX_TASKS: u32 = 256;
-/// Longest wait for a job in one call.
+/// Longest time that one call waits for a job to end.
 const MAX_WAIT: Duration = Duration::from_secs(300);
-/// Longest command, in bytes.
+/// Longest command in bytes.
 const MAX_COMMAND: usize = 4_096;
 
-/// An HTTP request, whole.
+/// A complete HTTP request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Method, upper case.
+    /// Method in upper case.
     pub method: String,
     /// Path without the query.
     pub path: String,
@@ -36,13 +36,13 @@
 }
 
 impl Request {
-    /// A header's value; names are compared without regard to case.
+    /// Value of a header; names are compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
         found.map(|header| header.value.as_str())
     }
 
-    /// A query parameter's value, as written.
+    /// Value of a query parameter, not decoded.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
@@ -52,37 +52,37 @@
 /// A parsed call.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Is the process alive?
+    /// Check whether the process is alive.
     Health,
-    /// May the balancer send callers here?
+    /// Check whether the load balancer may send callers to this entry.
     Ready,
-    /// Route to a minion of a service.
+    /// Forward a request to a minion of a service.
     Service(Service),
-    /// Submit a job to a region's cell.
+    /// Submit a job to the cell of a region.
     Submit(String, Box<Job>),
-    /// One job, waiting until it has ended or the time is over.
+    /// Get one job, waiting for up to this time until it has ended.
     Job(id::Job, Duration),
-    /// Why does a job wait?
+    /// Get one job with the reason why it waits.
     Explain(id::Job),
     /// Cancel a job.
     Cancel(id::Job),
-    /// Jobs of a region, of one organisation or all.
+    /// List the jobs of a region, of one organisation or of all (empty).
     Jobs(String, String),
-    /// Rules in force.
+    /// Get the rules in force.
     Rules,
     /// Check a rule file.
     CheckRules(String),
     /// Put a rule file in force.
     ApplyRules(Apply),
-    /// Earlier rule files.
+    /// List earlier rule files.
     History,
-    /// In how many processes is which revision in force?
+    /// List the processes by the revision that is in force there.
     Status,
-    /// Workers known.
+    /// List the known workers.
     Workers,
-    /// Minions known.
+    /// List the known minions.
     Minions,
-    /// Organisations and what they hold.
+    /// List the organisations with their guarantees.
     Organisations,
 }
 
@@ -91,33 +91,34 @@
 pub struct Service {
     /// Name of the service.
     pub name: String,
-    /// Method, upper case.
+    /// Method in upper case.
     pub method: String,
-    /// Path and query at the minion.
+    /// Path and query for the minion.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<Header>,
     /// Body.
     pub body: Bytes,
-    /// It may run more than once.
+    /// Whether it may run more than once.
     pub is_idempotent: bool,
-    /// Time the caller allows; none when it set none.
+    /// Time until the caller's deadline; `None` if the caller set none.
     pub deadline: Option<Duration>,
 }
 
 /// A rule file to put in force.
 #[derive(Clone, Debug)]
 pub struct Apply {
-    /// Revision that the operator saw.
+    /// Revision that the operator's file was made from.
     pub expected: id::Revision,
-    /// The file.
+    /// Text of the file.
     pub text: String,
-    /// Who applies it.
+    /// Name of the operator who applies it.
     pub author: String,
-    /// Accept guarantees that the workers at hand can't hold.
+    /// Whether to accept guarantees that the available workers can't satisfy.
     pub allow_short: bool,
 }
 
+/// Creates the answer to a malformed request, with status 400.
 fn bad(reason: &str) -> Answer {
     Answer::failure(400, Account::NotRun, reason)
 }
@@ -125,25 +126,26 @@
 /// Parses a request.
 ///
 /// # Errors
-/// The answer to give: 400 for what can't be understood, 404 and 405 for what isn't there.
+/// The answer for the caller: 400 for a malformed request, 404 for an unknown path, 405 for a wrong
+/// method, 428 for a rule file without its revision.
 pub fn parse(request: &Request, region: &str) -> Result<Call, Answer> {
     let segments: Vec<&str> = request.path.split('/').skip(1).collect();
     let organisation = || request.parameter("organisation").unwrap_or("").to_owned();
     match (request.method.as_str(), segments.as_slice()) {
         ("GET" | "HEAD", ["healthz"]) => Ok(Call::Health),
         ("GET" | "HEAD", ["readyz"]) => Ok(Call::Ready),
-        (_, ["v1", "services", name, ..]) => service(request, name).map(Call::Service),
-        ("POST", ["v1", "jobs"]) => submit(request, region),
+        (_, ["v1", "services", name, ..]) => parse_service(request, name).map(Call::Service),
+        ("POST", ["v1", "jobs"]) => parse_submission(request, region),
         ("GET", ["v1", "jobs"]) => {
             let region = request.parameter("region").unwrap_or(region).to_owned();
             Ok(Call::Jobs(region, organisation()))
         }
-        ("GET", ["v1", "jobs", job]) => Ok(Call::Job((*job).to_owned(), wait(request)?)),
+        ("GET", ["v1", "jobs", job]) => Ok(Call::Job((*job).to_owned(), parse_wait(request)?)),
         ("GET", ["v1", "jobs", job, "explain"]) => Ok(Call::Explain((*job).to_owned())),
         ("DELETE", ["v1", "jobs", job]) => Ok(Call::Cancel((*job).to_owned())),
         ("GET", ["v1", "rules"]) => Ok(Call::Rules),
-        ("PUT", ["v1", "rules"]) => apply(request).map(Call::ApplyRules),
-        ("POST", ["v1", "rules", "check"]) => text(request).map(Call::CheckRules),
+        ("PUT", ["v1", "rules"]) => parse_apply(request).map(Call::ApplyRules),
+        ("POST", ["v1", "rules", "check"]) => body_text(request).map(Call::CheckRules),
         ("GET", ["v1", "rules", "history"]) => Ok(Call::History),
         ("GET", ["v1", "rules", "status"]) => Ok(Call::Status),
         ("GET", ["v1", "workers"]) => Ok(Call::Workers),
@@ -156,21 +158,21 @@
     }
 }
 
-fn text(request: &Request) -> Result<String, Answer> {
+fn body_text(request: &Request) -> Result<String, Answer> {
     String::from_utf8(request.body.to_vec()).map_err(|_| bad("the body is not UTF-8 text"))
 }
 
-fn duration(name: &str, text: &str) -> Result<Duration, Answer> {
+fn parse_duration(name: &str, text: &str) -> Result<Duration, Answer> {
     humantime::parse_duration(text)
         .map_err(|_| bad(&format!("{name} `{text}` must be a duration with its unit, such as 5s")))
 }
 
-fn wait(request: &Request) -> Result<Duration, Answer> {
+fn parse_wait(request: &Request) -> Result<Duration, Answer> {
     let Some(text) = request.parameter("wait") else { return Ok(Duration::ZERO) };
-    Ok(duration("wait", text)?.min(MAX_WAIT))
+    Ok(parse_duration("wait", text)?.min(MAX_WAIT))
 }
 
-fn apply(request: &Request) -> Result<Apply, Answer> {
+fn parse_apply(request: &Request) -> Result<Apply, Answer> {
     let expected = request.header("If-Match").and_then(|text| text.trim_matches('"').parse().ok());
     let Some(expected) = expected else {
         return Err(Answer::failure(
@@ -181,14 +183,14 @@
     };
     Ok(Apply {
         expected,
-        text: text(request)?,
+        text: body_text(request)?,
         author: request.header("Sapphire-Author").unwrap_or("unknown").to_owned(),
         allow_short: request.parameter("allow_short") == Some("true"),
     })
 }
 
-/// Headers that concern one connection, and are not passed on.
-const HOP_HEADERS: [&str; 10] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -201,12 +203,12 @@
     "expect",
 ];
 
-/// Whether a header concerns the whole way rather than one connection.
+/// Whether a header is end-to-end, rather than for a single connection.
 pub fn is_end_to_end(name: &str) -> bool {
-    !HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
+    !HOP_BY_HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
 }
 
-fn service(request: &Request, name: &str) -> Result<Service, Answer> {
+fn parse_service(request: &Request, name: &str) -> Result<Service, Answer> {
     let prefix = format!("/v1/services/{name}");
     let rest = request.path.strip_prefix(&prefix).unwrap_or("");
     let path = if rest.is_empty() { "/" } else { rest };
@@ -219,7 +221,8 @@
         Some("false") => false,
         Some(_) => return Err(bad("Sapphire-Idempotent must be true or false")),
     };
-    let deadline = request.header(DEADLINE).map(|text| duration(DEADLINE, text)).transpose()?;
+    let deadline =
+        request.header(DEADLINE).map(|text| parse_duration(DEADLINE, text)).transpose()?;
     let headers = request.headers.iter().filter(|header| is_end_to_end(&header.name));
     Ok(Service {
         name: name.to_owned(),
@@ -256,7 +259,7 @@
 #[serde(deny_unknown_fields)]
 struct ShapeBody {
     accelerators: u32,
-    #[serde(default = "one")]
+    #[serde(default = "default_tasks")]
     tasks: u32,
     #[serde(default)]
     adjacency: AdjacencyBody,
@@ -275,20 +278,20 @@
     Zone,
 }
 
-fn one() -> u32 {
+fn default_tasks() -> u32 {
     1
 }
 
-fn submit(request: &Request, own_region: &str) -> Result<Call, Answer> {
+fn parse_submission(request: &Request, own_region: &str) -> Result<Call, Answer> {
     let body: SubmitBody = serde_json::from_slice(&request.body)
         .map_err(|error| bad(&format!("the body is not a job: {error}")))?;
-    let shape = shape(&body.shape)?;
+    let shape = parse_shape(&body.shape)?;
     if body.command.len() > MAX_COMMAND {
         return Err(bad(&format!("command is longer than {MAX_COMMAND} bytes")));
     }
     let millis = |name: &str, text: &Option<String>| -> Result<u64, Answer> {
         let Some(text) = text else { return Ok(0) };
-        Ok(u64::try_from(duration(name, text)?.as_millis()).unwrap_or(u64::MAX))
+        Ok(u64::try_from(parse_duration(name, text)?.as_millis()).unwrap_or(u64::MAX))
     };
     let region = body.region.unwrap_or_else(|| own_region.to_owned());
     if !section::is_name(&region) {
@@ -302,14 +305,14 @@
         declared_ms: millis("run_time", &body.run_time)?,
         deadline_unix_ms: millis("deadline", &body.deadline)?,
         command: body.command,
-        // The caller's key until the machine turns it into an identifier.
+        // Holds the caller's key until the state machine replaces it with the job's identifier.
         id: body.key.unwrap_or_default(),
         ..Job::default()
     };
     Ok(Call::Submit(region, Box::new(job)))
 }
 
-fn shape(body: &ShapeBody) -> Result<Shape, Answer> {
+fn parse_shape(body: &ShapeBody) -> Result<Shape, Answer> {
     if body.accelerators == 0 || body.accelerators > 64 {
         return Err(bad("shape.accelerators must be from 1 to 64"));
     }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,116 +1,119 @@
-//! One attempt at running a gang, as its planner sees it.
+//! An attempt at running a job's gang, as seen by the planner.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use sapphire_store::writer;
 use sapphire_wire::{Placement, TaskState, id};
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// Agents were asked to hold room.
+    /// Agents were asked to reserve resources.
     Holding {
-        /// When the attempt is given up.
+        /// When the attempt is abandoned if not all agents have granted their hold.
         until: Duration,
     },
-    /// The lead was told to start the gang.
+    /// The coordinator was sent the decision to start the gang.
     Decided {
-        /// When.
+        /// When the decision was sent.
         since: Duration,
     },
-    /// The lead says that it runs.
+    /// The coordinator reports that the gang runs.
     Running {
-        /// When the lead was last heard.
-        heard: Duration,
+        /// Time of the coordinator's last report.
+        last_report: Duration,
     },
-    /// Found in the store by a new planner; its lead may still report.
+    /// Found in the store by a new planner; its coordinator may still report.
     Adopted {
-        /// When.
+        /// When the planner took over.
         since: Duration,
     },
-    /// Being barred at every agent that may have seen it.
-    Settling,
+    /// Its outcome is being resolved: it is invalidated at every agent that may know of it, and
+    /// each replies with its state.
+    Resolving,
 }
 
-/// One agent's part.
+/// The tasks of an attempt that one agent is to run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seat {
-    /// Agent and tasks.
+pub struct Assignment {
+    /// Agent, worker and number of tasks, as recorded in the store.
     pub placement: Placement,
-    /// Agent's worker.
+    /// Worker of the agent.
     pub worker: id::Worker,
-    /// The hold was granted.
+    /// Whether the agent has granted the hold.
     pub is_granted: bool,
-    /// Final state, once the agent has told it or is surely gone.
-    pub settled: Option<TaskState>,
+    /// Final state, once the agent has reported it or has been declared lost.
+    pub final_state: Option<TaskState>,
 }
 
-/// What became of an attempt that was settled.
+/// Outcome of an attempt that has been resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     /// No task of it ever started.
     NotRun,
-    /// Some task of it started.
+    /// At least one task of it started.
     Ran,
-    /// Nobody can tell.
+    /// It can't be determined whether a task started.
     Unknown,
 }
 
-/// One attempt.
+/// State of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Job it tries to run.
+    /// Job that it runs.
     pub job: id::Job,
-    /// It runs on its organisation's guarantee.
+    /// Whether it runs on its organisation's guarantee.
     pub is_guaranteed: bool,
-    /// Where it stands.
+    /// Current state.
     pub phase: Phase,
-    /// Parts by agent.
-    pub seats: BTreeMap<id::Process, Seat>,
-    /// Change that must be kept before the gang may start.
+    /// Assignments by agent.
+    pub assignments: BTreeMap<id::Process, Assignment>,
+    /// Change of the job table that must be stored before the gang may start.
     pub change: writer::Change,
-    /// The lead may have been told to start it.
+    /// Whether the coordinator may have received the decision to start the gang.
     pub may_have_started: bool,
-    /// Why it is being settled.
+    /// Why its outcome is being resolved.
     pub reason: String,
-    /// It ended because its room was reclaimed.
+    /// Whether it ended because its resources were reclaimed.
     pub is_evicted: bool,
-    /// Agents that refused it.
+    /// Workers whose agents refused the hold.
     pub refused_by: Vec<id::Process>,
 }
 
 impl Attempt {
-    /// Agent that coordinates the gang: the first by name.
-    pub fn lead(&self) -> Option<&Seat> {
-        self.seats.values().next()
+    /// Assignment of the agent that coordinates the gang: the first by name.
+    pub fn coordinator(&self) -> Option<&Assignment> {
+        self.assignments.values().next()
     }
 
-    /// Whether the lead is to speak next.
-    pub fn waits_for_lead(&self) -> bool {
+    /// Whether the next message is expected from the coordinator.
+    pub fn awaits_coordinator(&self) -> bool {
         matches!(self.phase, Phase::Decided { .. } | Phase::Running { .. } | Phase::Adopted { .. })
     }
 
-    /// Whether every agent holds its part.
+    /// Whether every agent has granted its hold.
     pub fn is_held(&self) -> bool {
-        self.seats.values().all(|seat| seat.is_granted)
+        self.assignments.values().all(|assignment| assignment.is_granted)
     }
 
-    /// What became of it, once every agent has told or is gone.
+    /// Outcome of the attempt, once every agent has reported its final state or has been declared
+    /// lost.
     ///
-    /// "Not run" needs every agent's word that it never started its part, or the planner's own
-    /// knowledge that the lead was never told to start.
-    pub fn fate(&self) -> Option<Fate> {
-        let states: Option<Vec<TaskState>> = self.seats.values().map(|seat| seat.settled).collect();
+    /// "Not run" requires that every agent reports that it never started its part, or that the
+    /// planner never sent the decision to start.
+    pub fn outcome(&self) -> Option<Outcome> {
+        let states: Option<Vec<TaskState>> =
+            self.assignments.values().map(|assignment| assignment.final_state).collect();
         let states = states?;
         let ran =
             |state: &TaskState| matches!(state, TaskState::TaskExited | TaskState::TaskStopped);
         if states.iter().any(ran) {
-            return Some(Fate::Ran);
+            return Some(Outcome::Ran);
         }
         let is_barred = states.iter().all(|state| *state == TaskState::TaskBarred);
         if is_barred || !self.may_have_started {
-            return Some(Fate::NotRun);
+            return Some(Outcome::NotRun);
         }
-        Some(Fate::Unknown)
+        Some(Outcome::Unknown)
     }
 }
--- a/crates/entry/src/backoff.rs
+++ b/crates/entry/src/backoff.rs
@@ -1,17 +1,17 @@
-//! Jobs and workers that are left alone for a while.
+//! Jobs and workers that are excluded from placement for a while.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use sapphire_plan::health;
 use sapphire_wire::id;
 
-/// Wait before a job whose holds were refused is placed again, and before the worker that
-/// refused is used again.
-const REFUSED: Duration = Duration::from_millis(300);
-/// Time for which a worker whose task failed or was lost is left out of placement.
-const CULPRIT: Duration = Duration::from_secs(5);
+/// Delay before a job whose hold was refused is placed again, and before the worker that refused is
+/// used again.
+const REFUSED_DELAY: Duration = Duration::from_millis(300);
+/// Time for which a worker whose task failed or was lost is excluded from placement.
+const FAILED_DELAY: Duration = Duration::from_secs(5);
 
-/// Until when each is left alone.
+/// Jobs and workers with the time until which they are excluded, and the health of workers.
 #[derive(Debug, Default)]
 pub struct Backoff {
     jobs: BTreeMap<id::Job, Duration>,
@@ -20,58 +20,60 @@
 }
 
 impl Backoff {
-    /// A job's holds were refused, or its attempt was lost.
+    /// Delays a job whose hold was refused or whose attempt was lost.
     pub fn delay_job(&mut self, now: Duration, job: &str) {
-        self.jobs.insert(job.to_owned(), now + REFUSED);
+        self.jobs.insert(job.to_owned(), now + REFUSED_DELAY);
     }
 
-    /// A job needs no more waiting.
-    pub fn forget_job(&mut self, job: &str) {
+    /// Ends the delay of a job.
+    pub fn end_delay(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Whether a job is left alone now.
+    /// Whether a job is delayed now.
     pub fn is_delayed(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// A worker refused a hold.
-    pub fn refused(&mut self, now: Duration, worker: &str) {
-        self.workers.insert(worker.to_owned(), now + REFUSED);
+    /// Excludes a worker that refused a hold.
+    pub fn hold_refused(&mut self, now: Duration, worker: &str) {
+        self.workers.insert(worker.to_owned(), now + REFUSED_DELAY);
     }
 
-    /// A worker lost a task.
-    pub fn lost(&mut self, now: Duration, worker: &str) {
-        self.workers.insert(worker.to_owned(), now + CULPRIT);
+    /// Excludes a worker that lost a task.
+    pub fn task_lost(&mut self, now: Duration, worker: &str) {
+        self.workers.insert(worker.to_owned(), now + FAILED_DELAY);
     }
 
-    /// A job's task failed on a worker. Returns for how long the worker is set aside, if it is.
-    pub fn failed(&mut self, now: Duration, worker: &str, job: &str) -> Option<Duration> {
-        self.lost(now, worker);
+    /// Records that a job's task failed on a worker. Returns for how long the worker is
+    /// quarantined, if it is.
+    pub fn task_failed(&mut self, now: Duration, worker: &str, job: &str) -> Option<Duration> {
+        self.task_lost(now, worker);
         self.health.failed(now, worker, job)
     }
 
-    /// A job was done on these workers.
-    pub fn succeeded<'a>(&mut self, workers: impl Iterator<Item = &'a id::Worker>) {
+    /// Records that a job completed on these workers.
+    pub fn job_succeeded<'a>(&mut self, workers: impl Iterator<Item = &'a id::Worker>) {
         self.health.succeeded(workers);
     }
 
-    /// Workers that get nothing now.
-    pub fn left_out(&self, now: Duration) -> Vec<id::Worker> {
+    /// Workers that are excluded from placement now.
+    pub fn excluded_workers(&self, now: Duration) -> Vec<id::Worker> {
         self.workers.keys().chain(self.health.aside(now)).cloned().collect()
     }
 
-    /// Workers that fail every task they start.
-    pub fn aside(&self, now: Duration) -> Vec<&id::Worker> {
+    /// Quarantined workers: every task that they start fails.
+    pub fn quarantined(&self, now: Duration) -> Vec<&id::Worker> {
         self.health.aside(now).collect()
     }
 
-    /// Lets times pass; returns whether something may be tried again.
+    /// Ends exclusions whose time is over. Returns whether any ended, so that placement may succeed
+    /// now.
     pub fn expire(&mut self, now: Duration) -> bool {
         let before = self.jobs.len() + self.workers.len();
         self.jobs.retain(|_, until| *until > now);
         self.workers.retain(|_, until| *until > now);
-        let is_any = self.jobs.len() + self.workers.len() < before;
-        self.health.release(now) || is_any
+        let has_expired = self.jobs.len() + self.workers.len() < before;
+        self.health.release(now) || has_expired
     }
 }
--- a/crates/entry/src/bindings.rs
+++ b/crates/entry/src/bindings.rs
@@ -1,25 +1,25 @@
-//! Guarantees of a cell, bound to its workers.
+//! Binding of guarantees to the accelerators of a cell's workers.
 
 use sapphire_plan::{bind, fleet};
 use sapphire_rules::rule;
 use sapphire_wire::{Applied, Binding, Bound, Cell, Epoch, Slice, id};
 
-use crate::{effect::Output, planner::Surroundings, registry};
+use crate::{effect::Output, planner::Context, registry};
 
-/// Part that log lines name.
-const PART: &str = "plan";
+/// Part of the log that lines of this module belong to.
+const LOG_PART: &str = "plan";
 
-/// Bindings in force, and for what they were made.
+/// Bindings in force, and the rules and workers that they were computed from.
 #[derive(Debug, Default)]
 pub struct Bindings {
     bindings: Vec<Binding>,
     version: u64,
-    short: Vec<bind::Short>,
-    made_for: Option<(id::Revision, Vec<id::Worker>)>,
+    unmet: Vec<bind::Short>,
+    inputs: Option<(id::Revision, Vec<id::Worker>)>,
 }
 
 impl Bindings {
-    /// Bindings as the document held them.
+    /// Takes over the bindings of a stored cell.
     pub fn adopt(stored: &Cell) -> Self {
         Bindings {
             bindings: stored.bindings.clone(),
@@ -28,23 +28,23 @@
         }
     }
 
-    /// One a worker and organisation.
+    /// All bindings, one for each pair of worker and organisation.
     pub fn all(&self) -> &[Binding] {
         &self.bindings
     }
 
-    /// Grows with each change.
+    /// Version of the bindings; increases with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Guarantees that the workers at hand can't hold.
-    pub fn short(&self) -> &[bind::Short] {
-        &self.short
+    /// Guarantees that the available workers can't satisfy.
+    pub fn unmet(&self) -> &[bind::Short] {
+        &self.unmet
     }
 
-    /// Marks what is bound in a fleet.
-    pub fn mark(&self, fleet: &mut fleet::Fleet) {
+    /// Marks the bound accelerators in a fleet.
+    pub fn mark_bound(&self, fleet: &mut fleet::Fleet) {
         for binding in &self.bindings {
             if let Some(worker) = fleet.workers.get_mut(&binding.worker) {
                 worker.bound.insert(binding.organisation.clone(), binding.accelerators);
@@ -52,48 +52,48 @@
         }
     }
 
-    /// Binds anew when the rules or the open workers have changed; returns whether the bindings
-    /// did.
-    pub fn renew(
+    /// Computes the bindings again when the rules or the set of open workers have changed. Returns
+    /// whether the bindings changed.
+    pub fn update(
         &mut self,
         fleet: &fleet::Fleet,
         region: &str,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) -> bool {
         let open = fleet.workers.iter().filter(|(_, worker)| worker.is_open);
-        let made_for = Some((around.revision, open.map(|(name, _)| name.clone()).collect()));
-        if self.made_for == made_for {
+        let inputs = Some((context.revision, open.map(|(name, _)| name.clone()).collect()));
+        if self.inputs == inputs {
             return false;
         }
-        self.made_for = made_for;
+        self.inputs = inputs;
         let is_here = |guarantee: &rule::Guarantee| match &guarantee.place {
             rule::Place::Region(place) => place == region,
             rule::Place::Zone(zone) => fleet.workers.values().any(|worker| worker.zone == *zone),
         };
-        let guarantees = around.rules.guarantees().filter(|(_, guarantee)| is_here(guarantee));
+        let guarantees = context.rules.guarantees().filter(|(_, guarantee)| is_here(guarantee));
         let guarantees = guarantees.collect();
         let outcome = bind::bind(&bind::Options { guarantees, fleet, previous: &self.bindings });
-        outcome.short.iter().for_each(|short| log_short(short, out));
-        self.short = outcome.short;
+        outcome.short.iter().for_each(|unmet| log_unmet(unmet, out));
+        self.unmet = outcome.short;
         let has_changed = outcome.bindings != self.bindings;
         if has_changed {
             self.bindings = outcome.bindings;
             self.version += 1;
-            out.log(PART, format!("bound version={}", self.version));
+            out.log(LOG_PART, format!("guarantees bound version={}", self.version));
         }
         has_changed
     }
 
-    /// An agent's part of the rules, if it has an older one.
+    /// Rules that concern an agent's worker, if those that it applies are older.
     pub fn slice_for(
         &self,
         agent: &registry::Agent,
         epoch: &Epoch,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
     ) -> Option<Slice> {
         let term = epoch.term;
-        let applied = Applied { rules: around.revision, bindings: self.version, term };
+        let applied = Applied { rules: context.revision, bindings: self.version, term };
         let order = |of: &Applied| (of.term, of.rules, of.bindings);
         if order(&agent.applied) >= order(&applied) {
             return None;
@@ -104,24 +104,24 @@
             organisation: binding.organisation.clone(),
             accelerators: binding.accelerators,
         });
-        let reclaim = around.rules.reclaim();
+        let reclaim = context.rules.reclaim();
         Some(Slice {
             epoch: Some(epoch.clone()),
             applied: Some(applied),
             bound: bound.collect(),
-            draining: around.rules.is_drained(&worker.name, &worker.rack, &agent.zone),
+            draining: context.rules.is_drained(&worker.name, &worker.rack, &agent.zone),
             grace_ms: u64::try_from(reclaim.grace.as_millis()).unwrap_or(u64::MAX),
             smallest_first: reclaim.order == rule::Order::Smallest,
         })
     }
 }
 
-fn log_short(short: &bind::Short, out: &mut Output) {
+fn log_unmet(unmet: &bind::Short, out: &mut Output) {
     out.log(
-        PART,
+        LOG_PART,
         format!(
-            "guarantee short organisation={} line={} missing={} shape=\"{}\"",
-            short.organisation, short.line, short.missing, short.shape
+            "guarantee can't be satisfied organisation={} line={} missing={} shape=\"{}\"",
+            unmet.organisation, unmet.line, unmet.missing, unmet.shape
         ),
     );
 }
--- a/crates/entry/src/candidates.rs
+++ b/crates/entry/src/candidates.rs
@@ -1,4 +1,5 @@
-//! What a scheduling pass is given: jobs that may start, gangs that run, jobs without hope.
+//! Input of a scheduling pass: jobs that may start, gangs that run, and jobs that can't be tried
+//! again.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,8 +9,9 @@
 
 use crate::{attempt::Attempt, backoff::Backoff, job_table::JobTable};
 
-/// Waiting jobs that may start: kept by the store, and not refused a moment ago. While the store
-/// is out one that may repeat may start again unrecorded.
+/// Waiting jobs that may start: those that are stored and not delayed after a refusal. While the
+/// store is unavailable, an idempotent job that has been tried before may start again without a
+/// record.
 pub fn waiting<'a>(
     now: Duration,
     table: &'a JobTable,
@@ -18,7 +20,7 @@
 ) -> Vec<pass::Waiting<'a>> {
     let may_start = |job: &&Job| {
         let may_repeat = table.is_failing() && job.idempotent && job.attempt.is_some();
-        (table.is_kept(&job.id) || may_repeat) && !backoff.is_delayed(&job.id)
+        (table.is_stored(&job.id) || may_repeat) && !backoff.is_delayed(&job.id)
     };
     let waiting = table.values().filter(|job| job.state() == JobState::JobWaiting);
     let waiting = waiting.filter(may_start).map(|job| pass::Waiting {
@@ -29,7 +31,7 @@
     waiting.collect()
 }
 
-/// Gangs that run or are about to.
+/// Gangs that run or are about to start.
 pub fn running(
     now: Duration,
     table: &JobTable,
@@ -38,30 +40,34 @@
 ) -> Vec<pass::Running> {
     let running = attempts.values().filter_map(|attempt| {
         let job = table.get(&attempt.job)?;
-        let seats = attempt.seats.values().filter(|seat| seat.settled.is_none());
-        let seats = seats
-            .map(|seat| place::Seat { worker: seat.worker.clone(), tasks: seat.placement.tasks });
+        let assignments =
+            attempt.assignments.values().filter(|assignment| assignment.final_state.is_none());
+        let assignments = assignments.map(|assignment| place::Seat {
+            worker: assignment.worker.clone(),
+            tasks: assignment.placement.tasks,
+        });
         Some(pass::Running {
             organisation: job.organisation.clone(),
             shape: job.shape.unwrap_or_default(),
-            seats: seats.collect(),
+            seats: assignments.collect(),
             is_guaranteed: attempt.is_guaranteed,
-            remaining: Estimates::remaining(estimates.expect(job), ran(now, job)),
+            remaining: Estimates::remaining(estimates.expect(job), run_time(now, job)),
         })
     });
     running.collect()
 }
 
-/// How long a job has run in its present attempt.
-pub fn ran(now: Duration, job: &Job) -> Duration {
+/// How long a job has been running in its current attempt.
+pub fn run_time(now: Duration, job: &Job) -> Duration {
     match job.state() {
         JobState::JobRunning => now.saturating_sub(Duration::from_millis(job.started_unix_ms)),
         _ => Duration::ZERO,
     }
 }
 
-/// Why a waiting job may not be tried any more, if so.
-pub fn hopeless(now: Duration, job: &Job, rules: &file::File) -> Option<(JobState, String)> {
+/// Final state and reason of a waiting job that can't be tried any more, since its deadline has
+/// passed or its attempts are used up.
+pub fn ending(now: Duration, job: &Job, rules: &file::File) -> Option<(JobState, String)> {
     if job.deadline_unix_ms > 0 && now >= Duration::from_millis(job.deadline_unix_ms) {
         let (state, reason) = match (job.may_have_run, job.started_unix_ms) {
             (false, _) => (JobState::JobNotRun, "its deadline passed before it ran"),
--- a/crates/entry/src/effect.rs
+++ b/crates/entry/src/effect.rs
@@ -1,21 +1,21 @@
-//! What an entry wants done.
+//! Outputs of the entry's state machine.
 
 use sapphire_store::call;
 use sapphire_wire::{Peer, envelope, frame};
 
 use crate::{answer, event};
 
-/// One output of the state machine.
+/// An output, to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Send a message.
     Send {
         /// Receiver.
         to: Peer,
-        /// Message.
+        /// The message.
         envelope: Box<envelope::Envelope>,
     },
-    /// Call the store.
+    /// Call the store; the reply is given back with the same identifier.
     Store(event::Operation, call::Call),
     /// Answer a caller.
     Answer(event::Caller, answer::Answer),
@@ -25,19 +25,19 @@
     Exit,
 }
 
-/// One log line.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Part that speaks: `route`, `plan`, `rules` or `member`.
+    /// Part of the log that it belongs to: `route`, `plan`, `rules` or `member`.
     pub part: &'static str,
-    /// Short sentence with key=value pairs.
+    /// Short text with key=value pairs.
     pub text: String,
 }
 
-/// Output of one part of the machine, in order.
+/// Outputs of one component, each kind in order.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages.
+    /// Messages with their receivers.
     pub sends: Vec<(Peer, frame::Body)>,
     /// Log lines.
     pub lines: Vec<Line>,
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,28 +1,28 @@
-//! What happens to an entry.
+//! Inputs of the entry's state machine.
 
 use sapphire_store::call;
 use sapphire_wire::envelope;
 
 use crate::api;
 
-/// Identifier of a caller's call, given by the HTTP edge.
+/// Identifier of a caller's call, assigned by the HTTP server.
 pub type Caller = u64;
-/// Identifier of a call to the store, given by the machine.
+/// Identifier of a call to the store, assigned by the state machine.
 pub type Operation = u64;
 
-/// One input of the state machine.
+/// An input.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A message arrived.
     Frame(Box<envelope::Envelope>),
-    /// Time has passed; to be given at least once per heartbeat interval.
+    /// Time has passed; must be given at least once per heartbeat interval.
     Tick,
-    /// The store answered, or failed to.
+    /// The store replied, or the call to it failed.
     Store(Operation, call::Reply),
-    /// A caller asks for something.
+    /// A caller sent an HTTP request.
     Http(Caller, api::Request),
-    /// A caller has left; its answer is not wanted any more.
+    /// A caller has disconnected; its answer is no longer needed.
     CallerLeft(Caller),
-    /// The operator or platform asks for a graceful shutdown.
+    /// The operator or the platform requests a graceful shutdown.
     Drain,
 }
--- a/crates/entry/src/job_calls.rs
+++ b/crates/entry/src/job_calls.rs
@@ -1,4 +1,4 @@
-//! Callers' calls about jobs, passed to the planner of the job's cell.
+//! Callers' calls about jobs, which are forwarded to the planner of the job's cell.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,18 +11,18 @@
     event, view,
 };
 
-/// Wait before a call is sent again: its planner may have been replaced.
-const RESEND: Duration = Duration::from_millis(500);
-/// Longest time for a call that does not wait for a job to end.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Delay before a call is sent again, since the planner may have been replaced.
+const RESEND_DELAY: Duration = Duration::from_millis(500);
+/// Timeout of a call that does not wait for a job to end.
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What the caller asked for.
+/// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Submit a job.
     Submit,
-    /// Look at one job; `true` when the caller waits for its end.
-    Look(bool),
+    /// Get one job; `true` when the caller waits until it ends.
+    Get(bool),
     /// Cancel a job.
     Cancel,
     /// List jobs.
@@ -48,18 +48,18 @@
 }
 
 impl JobCalls {
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether none is in flight.
+    /// Whether no call is in flight.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Takes a call. It is sent at the next [`JobCalls::tick`].
-    pub fn take(
+    /// Adds a call. It is sent at the next [`JobCalls::tick`].
+    pub fn add(
         &mut self,
         now: Duration,
         caller: event::Caller,
@@ -76,13 +76,14 @@
             job_call::Body::Wait(wait) => wait.job.clone(),
             job_call::Body::List(_) => String::new(),
         };
-        let deadline = now + if wait.is_zero() { PATIENCE } else { wait };
+        let deadline = now + if wait.is_zero() { TIMEOUT } else { wait };
         let region = region.to_owned();
         let pending = Pending { caller, kind, region, body, deadline, sent: None, job };
         self.pending.insert(self.count, pending);
     }
 
-    /// Sends what is due to the planner of its region, and gives up what is too late.
+    /// Sends the calls that are due to the planners of their regions, and answers those whose
+    /// deadline has passed.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -90,7 +91,7 @@
         out: &mut Output,
     ) {
         for (call, pending) in &mut self.pending {
-            let is_due = pending.sent.is_none_or(|sent| now.saturating_sub(sent) >= RESEND);
+            let is_due = pending.sent.is_none_or(|sent| now.saturating_sub(sent) >= RESEND_DELAY);
             if !is_due || now >= pending.deadline {
                 continue;
             }
@@ -100,15 +101,15 @@
                 out.send(&peer, frame::Body::JobCall(JobCall { call: *call, body }));
             }
         }
-        let late = self.pending.extract_if(.., |_, pending| now >= pending.deadline);
-        let late: Vec<Pending> = late.map(|(_, pending)| pending).collect();
-        for pending in late {
-            out.answer(pending.caller, given_up(&pending));
+        let expired = self.pending.extract_if(.., |_, pending| now >= pending.deadline);
+        let expired: Vec<Pending> = expired.map(|(_, pending)| pending).collect();
+        for pending in expired {
+            out.answer(pending.caller, timeout_answer(&pending));
         }
     }
 
-    /// Takes a planner's reply.
-    pub fn replied(&mut self, reply: JobReply, out: &mut Output) {
+    /// Handles a planner's reply.
+    pub fn handle_reply(&mut self, reply: JobReply, out: &mut Output) {
         if reply.state() == CallState::CallNotPlanner {
             return;
         }
@@ -116,17 +117,17 @@
         out.answer(pending.caller, answer_to(&pending, reply));
     }
 
-    /// Forgets a caller that has left.
-    pub fn leave(&mut self, caller: event::Caller) {
+    /// Drops the calls of a caller that has disconnected.
+    pub fn caller_left(&mut self, caller: event::Caller) {
         self.pending.retain(|_, pending| pending.caller != caller);
     }
 }
 
-/// The account when no reply came: what was never sent did not run.
-fn given_up(pending: &Pending) -> answer::Answer {
+/// Answer to a call that got no reply in time. What was never sent has certainly not taken effect.
+fn timeout_answer(pending: &Pending) -> answer::Answer {
     let retry = Duration::from_secs(2);
     let answer = match (pending.kind, pending.sent) {
-        (Kind::Look(true), Some(_)) => {
+        (Kind::Get(true), Some(_)) => {
             let value = json!({
                 "id": pending.job,
                 "state": "pending",
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! An entry process, as a pure state machine.
+//! Entry process, as a pure state machine.
 //!
-//! An entry takes callers' and operators' calls, routes requests to minions, and may plan the
-//! jobs of its region's cell. All input, the time included, comes in as [`event::Event`]s; all
-//! output leaves as [`effect::Effect`]s. There is no I/O here.
+//! An entry accepts calls of callers and operators, routes requests to minions, and may plan the
+//! jobs of its region's cell. All input, including the current time, arrives as [`event::Event`]s;
+//! all output leaves as [`effect::Effect`]s. The crate performs no I/O.
 
 pub mod admission;
 pub mod answer;
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -1,4 +1,5 @@
-//! The entry's state machine: messages, store answers and callers in, effects out.
+//! The entry's state machine: handles messages, store replies and callers' requests, and returns
+//! effects.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -22,12 +23,12 @@
     job_calls, options, overview, peers, planner, registry, requests, rulebook,
 };
 
-/// Part that log lines about membership name.
-const MEMBER: &str = "member";
-/// Part that log lines about rules name.
-const RULES: &str = "rules";
+/// Part of the log for lines about processes and their membership.
+const LOG_MEMBER: &str = "member";
+/// Part of the log for lines about rules.
+const LOG_RULES: &str = "rules";
 
-/// What a call to the store is for.
+/// Purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     WatchRules,
@@ -35,10 +36,10 @@
     HoldPlannerKey,
     ReadCell,
     WriteCell,
-    Forget,
+    ReleasePlannerKey,
 }
 
-/// One entry.
+/// State of an entry.
 pub struct Machine {
     options: options::Options,
     rng: Pcg64,
@@ -47,21 +48,22 @@
     rulebook: rulebook::Rulebook,
     requests: requests::Requests,
     job_calls: job_calls::JobCalls,
-    holder: lease::Holder,
+    planner_key: lease::Holder,
     planner: Option<planner::Planner>,
-    /// Term of a planner key held whose cell is being read.
+    /// Term of the planner key that was acquired, while the cell is being read.
     taking_over: Option<u64>,
-    /// Take-overs by this process so far.
-    takings: u64,
+    /// Number of times this process has taken over planning.
+    takeovers: u64,
     operations: BTreeMap<Operation, (Purpose, Duration)>,
     next_operation: Operation,
-    /// When this process last ran.
+    /// Time of the last event.
     last_run: Duration,
-    /// It was frozen, and has not heard from the store since whether it still plans.
-    is_waking: bool,
-    next_beat: Duration,
-    /// Heartbeats to other entries so far.
-    beats: u32,
+    /// Whether this process was paused and the store has not yet confirmed that it still holds the
+    /// planner key.
+    is_resuming: bool,
+    next_heartbeat: Duration,
+    /// Number of heartbeats sent to other entries so far.
+    heartbeats_sent: u32,
     draining_since: Option<Duration>,
     has_reported_overdue: bool,
     effects: Vec<Effect>,
@@ -80,16 +82,16 @@
             rulebook: rulebook::Rulebook::default(),
             requests: requests::Requests::new(&options),
             job_calls: job_calls::JobCalls::default(),
-            holder: lease::Holder::new(&key, Bytes::from(holder_value), options.lease),
+            planner_key: lease::Holder::new(&key, Bytes::from(holder_value), options.lease),
             planner: None,
             taking_over: None,
-            takings: 0,
+            takeovers: 0,
             operations: BTreeMap::new(),
             next_operation: 1,
             last_run: Duration::ZERO,
-            is_waking: false,
-            next_beat: Duration::ZERO,
-            beats: 0,
+            is_resuming: false,
+            next_heartbeat: Duration::ZERO,
+            heartbeats_sent: 0,
             draining_since: None,
             has_reported_overdue: false,
             effects: Vec::new(),
@@ -97,18 +99,18 @@
         }
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the resulting effects.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
-        self.registry.begin(now);
-        self.notice_freeze(now);
+        self.registry.record_start(now);
+        self.detect_pause(now);
         match event {
-            Event::Frame(envelope) => self.frame(now, *envelope),
+            Event::Frame(envelope) => self.handle_envelope(now, *envelope),
             Event::Tick => self.tick(now),
-            Event::Store(operation, reply) => self.stored(now, operation, reply),
-            Event::Http(caller, request) => self.http(now, caller, &request),
+            Event::Store(operation, reply) => self.handle_store_reply(now, operation, reply),
+            Event::Http(caller, request) => self.handle_http(now, caller, &request),
             Event::CallerLeft(caller) => {
-                self.requests.leave(caller);
-                self.job_calls.leave(caller);
+                self.requests.caller_left(caller);
+                self.job_calls.caller_left(caller);
             }
             Event::Drain => self.drain(now),
         }
@@ -116,32 +118,33 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Guards against what a frozen process believes when it wakes: that everybody has been
-    /// silent, and that it still plans. The time is taken out, and planning waits for the
-    /// store's word on the key; without an answer the incumbent goes on.
-    fn notice_freeze(&mut self, now: Duration) {
+    /// Guards against wrong conclusions of a process that was paused and resumes: that all others
+    /// have been silent, and that it still is the planner. The time is excluded from the silence of
+    /// agents, and planning waits until the store has confirmed the key. If the store doesn't
+    /// reply, the planner continues.
+    fn detect_pause(&mut self, now: Duration) {
         let gap = now.saturating_sub(self.last_run);
         let is_first = self.last_run.is_zero();
         self.last_run = now;
         if is_first || gap < self.options.silence {
             return;
         }
-        self.log(MEMBER, format!("was frozen for={gap:?}"));
-        self.registry.forgive(gap);
-        self.is_waking = self.planner.is_some() && self.holder.is_stale(now);
+        self.log(LOG_MEMBER, format!("was paused for={gap:?}"));
+        self.registry.discount_pause(gap);
+        self.is_resuming = self.planner.is_some() && self.planner_key.is_stale(now);
     }
 
-    /// Rules in force here.
+    /// Rules in force in this process.
     pub fn rulebook(&self) -> &rulebook::Rulebook {
         &self.rulebook
     }
 
-    /// The planner of the region's cell, while this entry is it.
+    /// The planner of the region's cell, while this entry is the planner.
     pub fn planner(&self) -> Option<&planner::Planner> {
         self.planner.as_ref()
     }
 
-    /// Agents known.
+    /// Agents known to this entry.
     pub fn registry(&self) -> &registry::Registry {
         &self.registry
     }
@@ -160,8 +163,8 @@
         self.effects.push(Effect::Send { to: to.clone(), envelope: Box::new(envelope) });
     }
 
-    /// Carries out one part's output. Messages to this entry itself (a caller here, the planner
-    /// here) are taken at once.
+    /// Carries out the outputs of a component. Messages to this entry itself, such as between a
+    /// call and the planner in the same process, are handled at once.
     fn flush(&mut self, now: Duration, out: Output) {
         self.effects.extend(out.lines.into_iter().map(Effect::Log));
         for (caller, answer) in out.answers {
@@ -170,7 +173,7 @@
         for (to, body) in out.sends {
             if to.name == self.options.me.name {
                 let me = self.options.me.clone();
-                self.body(now, &me, body);
+                self.handle_message(now, &me, body);
             } else {
                 self.send(&to, body);
             }
@@ -183,49 +186,49 @@
         self.effects.extend(out.lines.into_iter().map(Effect::Log));
     }
 
-    fn store(&mut self, now: Duration, purpose: Purpose, call: Call) {
+    fn call_store(&mut self, now: Duration, purpose: Purpose, call: Call) {
         let operation = self.next_operation;
         self.next_operation += 1;
         self.operations.insert(operation, (purpose, now));
         self.effects.push(Effect::Store(operation, call));
     }
 
-    /// Asks the store for whatever is due.
+    /// Makes the calls to the store that are due.
     fn poll_store(&mut self, now: Duration) {
         if let Some(call) = self.rulebook.poll(now) {
-            self.store(now, Purpose::WatchRules, call);
+            self.call_store(now, Purpose::WatchRules, call);
         }
-        let is_planned = self.peers.planner(now, &self.options.region).is_some();
-        let may_take = !is_planned && self.draining_since.is_none() && self.rulebook.is_known();
-        if let Some(call) = self.holder.poll(now, may_take) {
-            self.store(now, Purpose::HoldPlannerKey, call);
+        let has_planner = self.peers.planner(now, &self.options.region).is_some();
+        let may_acquire = !has_planner && self.draining_since.is_none() && self.rulebook.is_known();
+        if let Some(call) = self.planner_key.poll(now, may_acquire) {
+            self.call_store(now, Purpose::HoldPlannerKey, call);
         }
         if let Some(call) = self.planner.as_mut().and_then(|planner| planner.poll(now)) {
-            self.store(now, Purpose::WriteCell, call);
+            self.call_store(now, Purpose::WriteCell, call);
         }
     }
 
-    fn stored(&mut self, now: Duration, operation: Operation, reply: Reply) {
+    fn handle_store_reply(&mut self, now: Duration, operation: Operation, reply: Reply) {
         let Some((purpose, sent)) = self.operations.remove(&operation) else { return };
         match purpose {
             Purpose::WatchRules => {
-                if self.rulebook.watched(now, reply) {
+                if self.rulebook.handle_watch_reply(now, reply) {
                     self.rules_changed(now);
                 }
             }
-            Purpose::WriteRules => self.rules_written(now, reply),
-            Purpose::HoldPlannerKey => self.key_replied(now, sent, reply),
-            Purpose::ReadCell => self.cell_read(now, reply),
-            Purpose::WriteCell => self.cell_written(now, reply),
-            Purpose::Forget => {}
+            Purpose::WriteRules => self.handle_rules_write(now, reply),
+            Purpose::HoldPlannerKey => self.handle_key_reply(now, sent, reply),
+            Purpose::ReadCell => self.handle_cell_read(now, reply),
+            Purpose::WriteCell => self.handle_cell_write(now, reply),
+            Purpose::ReleasePlannerKey => {}
         }
     }
 
-    fn rules_written(&mut self, now: Duration, reply: Reply) {
+    fn handle_rules_write(&mut self, now: Duration, reply: Reply) {
         let before = self.rulebook.revision();
-        let (call, answer) = self.rulebook.written(reply);
+        let (call, answer) = self.rulebook.handle_write_reply(reply);
         if let Some(call) = call {
-            self.store(now, Purpose::WriteRules, call);
+            self.call_store(now, Purpose::WriteRules, call);
         }
         if self.rulebook.revision() > before {
             self.rules_changed(now);
@@ -235,48 +238,48 @@
         }
     }
 
-    /// Newer rules are in force here: tells the other entries and, as planner, the agents now,
-    /// rather than at the next heartbeat.
+    /// Newer rules are in force here. Sends them to the other entries and, as planner, to the
+    /// agents at once instead of at the next heartbeat.
     fn rules_changed(&mut self, now: Duration) {
-        self.log(RULES, format!("in force revision={}", self.rulebook.revision()));
+        self.log(LOG_RULES, format!("in force revision={}", self.rulebook.revision()));
         let ruleset = self.rulebook.ruleset().clone();
         let others: Vec<Peer> = self
             .peers
-            .heard(now)
-            .filter(|entry| entry.beat.rules < ruleset.revision)
+            .reachable(now)
+            .filter(|entry| entry.heartbeat.rules < ruleset.revision)
             .map(|entry| entry.peer.clone())
             .collect();
         for other in others {
             let ruleset = Some(ruleset.clone());
             self.send(&other, frame::Body::Rules(Rules { ruleset }));
         }
-        self.with_planner(now, |planner, around, out| planner.rules_changed(now, around, out));
+        self.with_planner(now, |planner, context, out| planner.rules_changed(now, context, out));
     }
 
-    fn key_replied(&mut self, now: Duration, sent: Duration, reply: Reply) {
+    fn handle_key_reply(&mut self, now: Duration, sent: Duration, reply: Reply) {
         let is_unanswered = matches!(reply, Reply::Unavailable(_));
-        match self.holder.reply(now, sent, reply) {
+        match self.planner_key.reply(now, sent, reply) {
             lease::Outcome::Same => {}
             lease::Outcome::Taken(term) => {
                 self.log(
-                    MEMBER,
-                    format!("planner key held region={} term={term}", self.options.region),
+                    LOG_MEMBER,
+                    format!("planner key acquired region={} term={term}", self.options.region),
                 );
                 self.taking_over = Some(term);
                 self.read_cell(now);
             }
             lease::Outcome::Lapsed => self.step_down("the planner key lapsed"),
         }
-        // An answer to a call from before a freeze says nothing of the key now.
-        self.is_waking &= self.holder.is_stale(now) && !is_unanswered;
+        // A reply to a call from before the pause does not show who holds the key now.
+        self.is_resuming &= self.planner_key.is_stale(now) && !is_unanswered;
     }
 
     fn read_cell(&mut self, now: Duration) {
         let key = planner::cell_key(&self.options.region);
-        self.store(now, Purpose::ReadCell, Call::Get { key });
+        self.call_store(now, Purpose::ReadCell, Call::Get { key });
     }
 
-    fn cell_read(&mut self, now: Duration, reply: Reply) {
+    fn handle_cell_read(&mut self, now: Duration, reply: Reply) {
         let Some(term) = self.taking_over else { return };
         let Reply::Value(value) = reply else {
             self.read_cell(now);
@@ -287,34 +290,37 @@
     }
 
     fn take_over(&mut self, now: Duration, term: u64, value: &Value) {
-        self.takings += 1;
+        self.takeovers += 1;
         let epoch = Epoch { term, holder: self.options.me.name.clone() };
-        let planner = planner::Planner::new(now, &self.options, epoch, self.takings, value);
-        self.log(MEMBER, format!("plans region={} {}", self.options.region, planner.summary()));
+        let planner = planner::Planner::new(now, &self.options, epoch, self.takeovers, value);
+        self.log(
+            LOG_MEMBER,
+            format!("starts planning region={} {}", self.options.region, planner.summary()),
+        );
         self.planner = Some(planner);
         self.tick_planner(now);
-        self.beat(now);
+        self.send_heartbeats(now);
     }
 
-    fn cell_written(&mut self, now: Duration, reply: Reply) {
+    fn handle_cell_write(&mut self, now: Duration, reply: Reply) {
         let mut out = Output::default();
         let Some(planner) = &mut self.planner else { return };
-        let standing = planner.written(now, reply, &mut out);
+        let standing = planner.handle_write_reply(now, reply, &mut out);
         self.flush(now, out);
         match standing {
-            planner::Standing::Deposed(term) => self.deposed(now, term),
-            planner::Standing::Planner => self.tick_planner(now),
+            planner::Status::Superseded(term) => self.superseded(now, term),
+            planner::Status::Planner => self.tick_planner(now),
         }
     }
 
-    /// Another planner wrote the cell.
+    /// Handles that another planner has written the cell.
     ///
-    /// Guards against an earlier planner whose last write arrives after this one has read the
-    /// cell: with the key still held and the other's term below, the cell is read again. To step
-    /// down would leave the key held and the cell without a planner.
-    fn deposed(&mut self, now: Duration, other: u64) {
+    /// Guards against an earlier planner whose last write arrives after this one has read the cell.
+    /// If this entry still holds the key, under a higher term than the writer's, it reads the cell
+    /// again. Stepping down would leave the key held and the cell without a planner.
+    fn superseded(&mut self, now: Duration, other: u64) {
         self.step_down("another planner wrote the cell");
-        if let Some(own) = self.holder.last_term().filter(|own| *own > other) {
+        if let Some(own) = self.planner_key.last_term().filter(|own| *own > other) {
             self.taking_over = Some(own);
             self.read_cell(now);
         }
@@ -322,78 +328,78 @@
 
     fn step_down(&mut self, reason: &str) {
         if self.planner.take().is_some() || self.taking_over.take().is_some() {
-            self.log(MEMBER, format!("stops planning reason=\"{reason}\""));
+            self.log(LOG_MEMBER, format!("stops planning reason=\"{reason}\""));
         }
     }
 
     fn tick_planner(&mut self, now: Duration) {
-        self.with_planner(now, |planner, around, out| planner.tick(now, around, out));
+        self.with_planner(now, |planner, context, out| planner.tick(now, context, out));
     }
 
-    /// Runs a step of the planner, if this entry is it; returns whether it is.
+    /// Calls a method of the planner if this entry is the planner, and returns whether it is.
     fn with_planner(
         &mut self,
         now: Duration,
-        step: impl FnOnce(&mut planner::Planner, &planner::Surroundings<'_>, &mut Output),
+        step: impl FnOnce(&mut planner::Planner, &planner::Context<'_>, &mut Output),
     ) -> bool {
         let mut out = Output::default();
-        if self.is_waking {
+        if self.is_resuming {
             return false;
         }
         let Some(planner) = &mut self.planner else { return false };
-        let around = planner::Surroundings {
+        let context = planner::Context {
             registry: &self.registry,
             rules: self.rulebook.file(),
             revision: self.rulebook.revision(),
         };
-        step(planner, &around, &mut out);
+        step(planner, &context, &mut out);
         self.flush(now, out);
         true
     }
 
-    fn frame(&mut self, now: Duration, envelope: envelope::Envelope) {
+    fn handle_envelope(&mut self, now: Duration, envelope: envelope::Envelope) {
         let mine = self.options.me.generation;
         if envelope.to_generation != 0 && envelope.to_generation != mine {
             return;
         }
-        self.body(now, &envelope.from, envelope.body);
+        self.handle_message(now, &envelope.from, envelope.body);
     }
 
-    fn body(&mut self, now: Duration, from: &Peer, body: frame::Body) {
+    fn handle_message(&mut self, now: Duration, from: &Peer, body: frame::Body) {
         match body {
-            frame::Body::Announce(announce) => self.announced(now, from, announce),
-            frame::Body::Heartbeat(heartbeat) => self.heartbeat(now, from, &heartbeat),
-            frame::Body::EntryBeat(beat) => self.entry_beat(now, from, beat),
-            frame::Body::RulesPull(pull) => self.rules_pulled(from, pull),
-            frame::Body::Rules(rules) => self.rules_offered(now, rules),
-            frame::Body::JobCall(call) => self.job_call(now, from, call),
+            frame::Body::Announce(announce) => self.handle_announcement(now, from, announce),
+            frame::Body::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat),
+            frame::Body::EntryBeat(beat) => self.handle_entry_heartbeat(now, from, beat),
+            frame::Body::RulesPull(pull) => self.handle_rules_pull(from, pull),
+            frame::Body::Rules(rules) => self.handle_rules(now, rules),
+            frame::Body::JobCall(call) => self.handle_job_call(now, from, call),
             frame::Body::JobReply(reply) => {
                 let mut out = Output::default();
-                self.job_calls.replied(reply, &mut out);
+                self.job_calls.handle_reply(reply, &mut out);
                 self.flush(now, out);
             }
             frame::Body::HoldReply(reply) => {
-                self.with_planner(now, |planner, around, out| {
-                    planner.hold_reply(now, from, &reply, around, out);
+                self.with_planner(now, |planner, context, out| {
+                    planner.handle_hold_reply(now, from, &reply, context, out);
                 });
             }
             frame::Body::Report(report) => {
-                self.with_planner(now, |planner, around, out| {
-                    planner.report(now, from, &report, out);
-                    planner.tick(now, around, out);
+                self.with_planner(now, |planner, context, out| {
+                    planner.handle_report(now, from, &report, out);
+                    planner.tick(now, context, out);
                 });
             }
             frame::Body::BarReply(reply) => {
                 self.with_planner(now, |planner, _, out| {
-                    planner.bar_reply(now, from, &reply, out);
+                    planner.handle_invalidation_reply(now, from, &reply, out);
                 });
                 self.with_requests(now, |requests, registry, rng, out| {
-                    requests.bar_reply(now, from, &reply, registry, rng, out);
+                    requests.handle_probe_reply(now, from, &reply, registry, rng, out);
                 });
             }
             frame::Body::Answer(answer) => {
                 self.with_requests(now, |requests, registry, rng, out| {
-                    requests.answered(now, from, answer, registry, rng, out);
+                    requests.handle_answer(now, from, answer, registry, rng, out);
                 });
             }
             _ => {}
@@ -410,75 +416,76 @@
         self.flush(now, out);
     }
 
-    fn announced(&mut self, now: Duration, from: &Peer, announce: Announce) {
+    fn handle_announcement(&mut self, now: Duration, from: &Peer, announce: Announce) {
         let zone = announce.zone.clone();
         if self.registry.announce(now, from, announce) {
-            self.log(MEMBER, format!("agent={} zone={zone} announced", from.name));
+            self.log(LOG_MEMBER, format!("agent={} zone={zone} announced", from.name));
         }
         self.welcome(now, from, false);
     }
 
-    fn heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: &Heartbeat) {
+    fn handle_heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: &Heartbeat) {
         let is_known = self.registry.heartbeat(now, from, heartbeat);
         if !is_known || self.registry.is_welcome_due(&from.name) {
             self.welcome(now, from, !is_known);
         } else {
-            self.greet(now, from);
+            self.send_slice(now, from);
         }
     }
 
-    /// The planner, unless this process has just woken and can't know whether it still is one.
-    fn sure_planner(&self) -> Option<&planner::Planner> {
-        self.planner.as_ref().filter(|_| !self.is_waking)
+    /// The planner, unless this process has just resumed and must verify that it still holds the
+    /// key.
+    fn verified_planner(&self) -> Option<&planner::Planner> {
+        self.planner.as_ref().filter(|_| !self.is_resuming)
     }
 
     fn welcome(&mut self, now: Duration, from: &Peer, announce_again: bool) {
-        let mut entries: Vec<Peer> = self.peers.heard(now).map(|e| e.peer.clone()).collect();
+        let mut entries: Vec<Peer> = self.peers.reachable(now).map(|e| e.peer.clone()).collect();
         entries.push(self.options.me.clone());
         let agent = self.registry.get(&from.name);
         let is_own_cell = agent.is_some_and(|agent| agent.region == self.options.region);
-        let epoch = self.sure_planner().filter(|_| is_own_cell).map(|p| p.epoch().clone());
+        let epoch = self.verified_planner().filter(|_| is_own_cell).map(|p| p.epoch().clone());
         let region = self.options.region.clone();
         let welcome = Welcome { announce_again, entries, planner: epoch, region };
         self.send(from, frame::Body::Welcome(welcome));
-        self.greet(now, from);
+        self.send_slice(now, from);
     }
 
-    fn greet(&mut self, now: Duration, agent: &Peer) {
-        self.with_planner(now, |planner, around, out| {
-            if let Some(agent) = around.registry.get(&agent.name) {
-                planner.greet(agent, around, out);
+    fn send_slice(&mut self, now: Duration, agent: &Peer) {
+        self.with_planner(now, |planner, context, out| {
+            if let Some(agent) = context.registry.get(&agent.name) {
+                planner.send_slice(agent, context, out);
             }
         });
     }
 
-    fn entry_beat(&mut self, now: Duration, from: &Peer, beat: EntryBeat) {
+    fn handle_entry_heartbeat(&mut self, now: Duration, from: &Peer, beat: EntryBeat) {
         let has_newer = beat.rules > self.rulebook.revision();
-        self.peers.hear(now, from, beat);
+        self.peers.record_heartbeat(now, from, beat);
         if has_newer {
             let above = self.rulebook.revision();
             self.send(from, frame::Body::RulesPull(RulesPull { above }));
         }
     }
 
-    fn rules_offered(&mut self, now: Duration, rules: Rules) {
-        if rules.ruleset.is_some_and(|ruleset| self.rulebook.offer(ruleset)) {
+    fn handle_rules(&mut self, now: Duration, rules: Rules) {
+        if rules.ruleset.is_some_and(|ruleset| self.rulebook.apply_if_newer(ruleset)) {
             self.rules_changed(now);
         }
     }
 
-    fn rules_pulled(&mut self, from: &Peer, pull: RulesPull) {
+    fn handle_rules_pull(&mut self, from: &Peer, pull: RulesPull) {
         if self.rulebook.revision() > pull.above {
             let ruleset = Some(self.rulebook.ruleset().clone());
             self.send(from, frame::Body::Rules(Rules { ruleset }));
         }
     }
 
-    fn job_call(&mut self, now: Duration, from: &Peer, call: JobCall) {
+    fn handle_job_call(&mut self, now: Duration, from: &Peer, call: JobCall) {
         let number = call.call;
-        let is_planner = self.with_planner(now, |planner, around, out| {
-            planner.call(now, from, call, around, out);
-            planner.tick(now, around, out);
+        let is_planner = self.with_planner(now, |planner, context, out| {
+            planner.handle_call(now, from, call, context, out);
+            planner.tick(now, context, out);
         });
         if !is_planner {
             let mut reply = JobReply { call: number, ..JobReply::default() };
@@ -490,12 +497,12 @@
     }
 
     fn tick(&mut self, now: Duration) {
-        if now >= self.next_beat {
-            self.next_beat = now + self.options.heartbeat;
-            self.beat(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + self.options.heartbeat;
+            self.send_heartbeats(now);
         }
         for name in self.registry.forget_silent(now) {
-            self.log(MEMBER, format!("agent={name} gone reason=silent"));
+            self.log(LOG_MEMBER, format!("agent={name} declared lost reason=silent"));
         }
         self.peers.forget_silent(now);
         self.tick_planner(now);
@@ -508,7 +515,7 @@
 
     fn tick_job_calls(&mut self, now: Duration) {
         let mut out = Output::default();
-        let own = self.sure_planner().map(|_| self.options.me.clone());
+        let own = self.verified_planner().map(|_| self.options.me.clone());
         let region = self.options.region.clone();
         let peers = &self.peers;
         let planner = |of: &str| {
@@ -519,21 +526,24 @@
         self.flush(now, out);
     }
 
-    /// Tells the other entries what this one has and does.
-    fn beat(&mut self, now: Duration) {
-        let mut entries: Vec<Peer> = self.peers.heard(now).map(|e| e.peer.clone()).collect();
+    /// Sends a heartbeat to the other entries.
+    fn send_heartbeats(&mut self, now: Duration) {
+        let mut entries: Vec<Peer> = self.peers.reachable(now).map(|e| e.peer.clone()).collect();
         entries.push(self.options.me.clone());
         let beat = EntryBeat {
             region: self.options.region.clone(),
             zone: self.options.zone.clone(),
             draining: self.draining_since.is_some(),
             rules: self.rulebook.revision(),
-            planner: self.sure_planner().map(|planner| planner.epoch().clone()),
+            planner: self.verified_planner().map(|planner| planner.epoch().clone()),
             entries,
         };
-        let others: Vec<Peer> =
-            self.peers.due(self.beats).map(|entry| entry.peer.clone()).collect();
-        self.beats = self.beats.wrapping_add(1);
+        let others: Vec<Peer> = self
+            .peers
+            .heartbeat_due(self.heartbeats_sent)
+            .map(|entry| entry.peer.clone())
+            .collect();
+        self.heartbeats_sent = self.heartbeats_sent.wrapping_add(1);
         for other in others {
             let to = peer::new(&other.name, &other.address, 0);
             self.send(&to, frame::Body::EntryBeat(beat.clone()));
@@ -545,16 +555,16 @@
             return;
         }
         self.draining_since = Some(now);
-        self.log(MEMBER, format!("drain begins requests={}", self.requests.len()));
-        if let Some(call) = self.holder.release() {
-            self.store(now, Purpose::Forget, call);
+        self.log(LOG_MEMBER, format!("drain begins requests={}", self.requests.len()));
+        if let Some(call) = self.planner_key.release() {
+            self.call_store(now, Purpose::ReleasePlannerKey, call);
         }
         self.step_down("shutdown");
-        self.beat(now);
+        self.send_heartbeats(now);
     }
 
-    /// Exits when every caller has its answer. New callers are served until the balancer has
-    /// had time to see that this entry is not ready.
+    /// Exits when every caller has received its answer. New callers are served until the load
+    /// balancer has had time to notice that this entry is not ready.
     fn tick_drain(&mut self, now: Duration) {
         let Some(since) = self.draining_since else { return };
         let has_lingered = now.saturating_sub(since) >= self.options.silence;
@@ -567,8 +577,10 @@
         if is_overdue && !self.has_reported_overdue {
             self.has_reported_overdue = true;
             let (requests, calls) = (self.requests.len(), self.job_calls.len());
-            let text = format!("drain exceeds its bound requests={requests} job_calls={calls}");
-            self.log(MEMBER, text);
+            let text = format!(
+                "graceful shutdown exceeds its time limit requests={requests} job_calls={calls}"
+            );
+            self.log(LOG_MEMBER, text);
         }
     }
 
@@ -576,19 +588,19 @@
         self.effects.push(Effect::Answer(caller, answer));
     }
 
-    fn http(&mut self, now: Duration, caller: Caller, request: &api::Request) {
+    fn handle_http(&mut self, now: Duration, caller: Caller, request: &api::Request) {
         let region = self.options.region.clone();
         match api::parse(request, &region) {
-            Ok(call) => self.call(now, caller, call),
+            Ok(call) => self.handle_call(now, caller, call),
             Err(answer) => self.answer(caller, answer),
         }
     }
 
-    fn call(&mut self, now: Duration, caller: Caller, call: api::Call) {
+    fn handle_call(&mut self, now: Duration, caller: Caller, call: api::Call) {
         match call {
             api::Call::Service(service) => {
                 self.with_requests(now, |requests, registry, rng, out| {
-                    requests.take(now, caller, service, registry, rng, out);
+                    requests.accept(now, caller, service, registry, rng, out);
                 });
             }
             api::Call::Submit(region, job) => self.submit(now, caller, &region, *job),
@@ -599,34 +611,35 @@
                 } else {
                     job_call::Body::Get(id.clone())
                 };
-                self.call_about(now, caller, job_calls::Kind::Look(is_waiting), &id, body, wait);
+                self.call_for_job(now, caller, job_calls::Kind::Get(is_waiting), &id, body, wait);
             }
             api::Call::Explain(id) => {
                 let body = job_call::Body::Explain(id.clone());
-                let kind = job_calls::Kind::Look(false);
-                self.call_about(now, caller, kind, &id, body, Duration::ZERO);
+                let kind = job_calls::Kind::Get(false);
+                self.call_for_job(now, caller, kind, &id, body, Duration::ZERO);
             }
             api::Call::Cancel(id) => {
                 let body = job_call::Body::Cancel(id.clone());
                 let kind = job_calls::Kind::Cancel;
-                self.call_about(now, caller, kind, &id, body, Duration::ZERO);
+                self.call_for_job(now, caller, kind, &id, body, Duration::ZERO);
             }
             api::Call::Jobs(region, organisation) => {
                 let body = job_call::Body::List(organisation);
                 let kind = job_calls::Kind::List;
-                self.job_calls.take(now, caller, kind, &region, body, Duration::ZERO);
+                self.job_calls.add(now, caller, kind, &region, body, Duration::ZERO);
                 self.tick_job_calls(now);
             }
             api::Call::ApplyRules(apply) => self.apply_rules(now, caller, &apply),
             call => {
-                let answer = self.overview(now).look(&call);
+                let answer = self.overview(now).answer(&call);
                 self.answer(caller, answer);
             }
         }
     }
 
-    /// Submits a job under an identifier that starts with its region. With the caller's key it
-    /// is the same each time, so that a submission that is repeated finds the job it made.
+    /// Submits a job under an identifier that starts with its region. With a caller's key the
+    /// identifier is the same each time, so that a repeated submission finds the job of the first
+    /// one.
     fn submit(&mut self, now: Duration, caller: Caller, region: &str, mut job: Job) {
         job.id = if job.id.is_empty() {
             format!("{region}.{:016x}", self.rng.random::<u64>())
@@ -640,11 +653,11 @@
         }
         let body = job_call::Body::Submit(job);
         let kind = job_calls::Kind::Submit;
-        self.job_calls.take(now, caller, kind, region, body, Duration::ZERO);
+        self.job_calls.add(now, caller, kind, region, body, Duration::ZERO);
         self.tick_job_calls(now);
     }
 
-    fn call_about(
+    fn call_for_job(
         &mut self,
         now: Duration,
         caller: Caller,
@@ -654,7 +667,7 @@
         wait: Duration,
     ) {
         let region = id.split('.').next().unwrap_or_default().to_owned();
-        self.job_calls.take(now, caller, kind, &region, body, wait);
+        self.job_calls.add(now, caller, kind, &region, body, wait);
         self.tick_job_calls(now);
     }
 
@@ -672,7 +685,7 @@
 
     fn apply_rules(&mut self, now: Duration, caller: Caller, apply: &api::Apply) {
         if !apply.allow_short
-            && let Some(answer) = self.overview(now).refuse_short(&apply.text)
+            && let Some(answer) = self.overview(now).refuse_unmet(&apply.text)
         {
             self.answer(caller, answer);
             return;
@@ -680,7 +693,7 @@
         let me = &self.options.me;
         let prefix = format!("{}-{:x}", me.name, me.generation);
         match self.rulebook.apply(now, caller, apply, &prefix) {
-            Ok(call) => self.store(now, Purpose::WriteRules, call),
+            Ok(call) => self.call_store(now, Purpose::WriteRules, call),
             Err(answer) => self.answer(caller, answer),
         }
     }
--- a/crates/entry/src/options.rs
+++ b/crates/entry/src/options.rs
@@ -1,36 +1,36 @@
-//! What an entry is told at its start.
+//! Configuration of an entry.
 
 use std::time::Duration;
 
 use sapphire_wire::{Peer, id};
 
-/// Settings of one entry, checked by the caller.
+/// Settings of one entry; the caller has validated them.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This process, with the generation of this start.
+    /// Name, address and generation of this process.
     pub me: Peer,
-    /// Region it runs in; the cell it may plan.
+    /// Region in which it runs, and whose cell it may plan.
     pub region: String,
-    /// Availability zone it runs in.
+    /// Availability zone in which it runs.
     pub zone: String,
-    /// Other entries to speak to at the start.
+    /// Other entries to contact at the start.
     pub peers: Vec<id::Address>,
     /// Interval of heartbeats.
     pub heartbeat: Duration,
-    /// Silence after which a process is suspected.
+    /// Time without a message after which a process is suspected of having failed.
     pub silence: Duration,
-    /// Lease of a running gang, and of the planner at the store.
+    /// Lease of a running gang, and of the planner key in the store.
     pub lease: Duration,
-    /// How long a hold waits for the decision.
+    /// How long a reservation waits for the decision to start.
     pub hold: Duration,
-    /// Deadline of a request whose caller set none.
+    /// Deadline of a request for which the caller set none.
     pub request: Duration,
-    /// Longest graceful shutdown.
+    /// Longest time that a graceful shutdown should take.
     pub shutdown: Duration,
-    /// Callers' requests in flight.
+    /// Maximum number of callers' requests in flight.
     pub max_requests: usize,
-    /// Jobs kept in the cell, ended ones included.
+    /// Maximum number of jobs in the cell that have not ended.
     pub max_jobs: usize,
-    /// Seed of the random generator.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
--- a/crates/entry/src/overview.rs
+++ b/crates/entry/src/overview.rs
@@ -1,4 +1,4 @@
-//! What callers and operators can look at without asking another process.
+//! Answers to callers and operators that need only the state of this process.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,11 +14,11 @@
     api, options, peers, planner, registry, rulebook,
 };
 
-/// Everything that an entry knows, to read only.
+/// Read-only view of an entry's state.
 pub struct Overview<'a> {
-    /// Time.
+    /// Current time.
     pub now: Duration,
-    /// This entry.
+    /// Configuration of this entry.
     pub options: &'a options::Options,
     /// Agents.
     pub registry: &'a registry::Registry,
@@ -26,15 +26,15 @@
     pub peers: &'a peers::Peers,
     /// Rules.
     pub rulebook: &'a rulebook::Rulebook,
-    /// The planner, while this entry is it.
+    /// The planner, while this entry is the planner.
     pub planner: Option<&'a planner::Planner>,
-    /// A shutdown has begun.
+    /// Whether a graceful shutdown has begun.
     pub is_draining: bool,
 }
 
 impl Overview<'_> {
-    /// Guarantees of a file that the workers known can't hold, all regions together.
-    fn short(&self, file: &file::File) -> Vec<bind::Short> {
+    /// Guarantees of a file that the known workers can't satisfy, over all regions.
+    fn unmet(&self, file: &file::File) -> Vec<bind::Short> {
         let mut fleet = fleet::Fleet::default();
         let agents = self.registry.agents().values();
         let regions: BTreeSet<&str> = agents.map(|agent| agent.region.as_str()).collect();
@@ -47,14 +47,15 @@
         bind::bind(&bind::Options { guarantees, fleet: &fleet, previous: &[] }).short
     }
 
-    /// The answer to a file with guarantees that the workers known can't hold, if it has any.
-    pub fn refuse_short(&self, text: &str) -> Option<Answer> {
+    /// Answer to a file with guarantees that the known workers can't satisfy; `None` if there are
+    /// none.
+    pub fn refuse_unmet(&self, text: &str) -> Option<Answer> {
         let file = file::File::parse(text).ok()?;
-        let short = self.short(&file);
-        if short.is_empty() {
+        let unmet = self.unmet(&file);
+        if unmet.is_empty() {
             return None;
         }
-        let findings: Vec<_> = short.iter().map(short_json).collect();
+        let findings: Vec<_> = unmet.iter().map(unmet_json).collect();
         let value = json!({
             "account": Account::NotRun.to_string(),
             "reason": "some guarantees can't be held by the workers at hand; the rules are unchanged",
@@ -63,8 +64,8 @@
         Some(Answer::json(422, &value))
     }
 
-    /// Answers that need nothing but what is known here.
-    pub fn look(&self, call: &api::Call) -> Answer {
+    /// Answers a call from the state of this process.
+    pub fn answer(&self, call: &api::Call) -> Answer {
         match call {
             api::Call::Health => Answer::json(200, &json!({ "alive": true })),
             api::Call::Ready => self.ready(),
@@ -82,11 +83,11 @@
             }
             api::Call::History => self.history(),
             api::Call::CheckRules(text) => match file::File::parse(text) {
-                Err(findings) => rulebook::refuse_findings(&findings),
+                Err(findings) => rulebook::findings_answer(&findings),
                 Ok(file) => {
-                    let short = self.short(&file);
-                    let short: Vec<_> = short.iter().map(short_json).collect();
-                    Answer::json(200, &json!({ "rules": file.entries.len(), "findings": short }))
+                    let unmet = self.unmet(&file);
+                    let unmet: Vec<_> = unmet.iter().map(unmet_json).collect();
+                    Answer::json(200, &json!({ "rules": file.entries.len(), "findings": unmet }))
                 }
             },
             api::Call::Status => self.status(),
@@ -102,7 +103,7 @@
             Some("draining")
         } else if !self.rulebook.is_known() {
             Some("the rules are not known yet")
-        } else if !self.registry.is_warm(self.now) {
+        } else if !self.registry.is_warmed_up(self.now) {
             Some("agents have not had time to announce themselves")
         } else {
             None
@@ -129,25 +130,25 @@
             by_revision.entry(revision).or_default().push(name.to_owned());
         };
         add(self.rulebook.revision(), &self.options.me.name);
-        for entry in self.peers.heard(self.now) {
-            add(entry.beat.rules, &entry.peer.name);
+        for entry in self.peers.reachable(self.now) {
+            add(entry.heartbeat.rules, &entry.peer.name);
         }
         let agents = self.registry.agents().values();
-        for agent in agents.filter(|agent| self.registry.is_heard(self.now, agent)) {
+        for agent in agents.filter(|agent| self.registry.is_reachable(self.now, agent)) {
             add(agent.applied.rules, &agent.peer.name);
         }
         let processes: Vec<_> = by_revision
             .into_iter()
             .map(|(revision, names)| json!({ "revision": revision, "count": names.len(), "processes": names }))
             .collect();
-        let short = self.planner.map(planner::Planner::short).unwrap_or_default();
-        let short: Vec<_> = short.iter().map(short_json).collect();
+        let unmet = self.planner.map(planner::Planner::unmet).unwrap_or_default();
+        let unmet: Vec<_> = unmet.iter().map(unmet_json).collect();
         Answer::json(
             200,
             &json!({
                 "revision": self.rulebook.revision(),
                 "in_force": processes,
-                "short": short,
+                "short": unmet,
                 "planner": self.planner_name(),
             }),
         )
@@ -161,7 +162,8 @@
     }
 
     fn workers(&self) -> Answer {
-        let aside = self.planner.map(|planner| planner.aside(self.now)).unwrap_or_default();
+        let quarantined =
+            self.planner.map(|planner| planner.quarantined(self.now)).unwrap_or_default();
         let workers = self.registry.agents().values().filter_map(|agent| {
             let worker = agent.worker.as_ref()?;
             Some(json!({
@@ -174,8 +176,8 @@
                 "free": agent.load.free_accelerators,
                 "borrowed": agent.load.borrowed_accelerators,
                 "draining": agent.load.draining,
-                "heard": self.registry.is_heard(self.now, agent),
-                "set_aside": aside.contains(&&worker.name),
+                "heard": self.registry.is_reachable(self.now, agent),
+                "set_aside": quarantined.contains(&&worker.name),
                 "rules": agent.applied.rules,
             }))
         });
@@ -194,7 +196,7 @@
                 "slots": minion.slots,
                 "free": agent.load.free_slots,
                 "draining": agent.load.draining,
-                "heard": self.registry.is_heard(self.now, agent),
+                "heard": self.registry.is_reachable(self.now, agent),
             }))
         });
         Answer::json(200, &json!({ "minions": minions.collect::<Vec<_>>() }))
@@ -219,12 +221,12 @@
         Answer::json(200, &json!({ "organisations": organisations.collect::<Vec<_>>() }))
     }
 }
-fn short_json(short: &bind::Short) -> serde_json::Value {
+fn unmet_json(unmet: &bind::Short) -> serde_json::Value {
     json!({
-        "line": short.line,
+        "line": unmet.line,
         "column": 1,
-        "organisation": short.organisation,
-        "missing": short.missing,
-        "message": format!("{} of {} can't be bound: {}", short.missing, short.organisation, short.shape),
+        "organisation": unmet.organisation,
+        "missing": unmet.missing,
+        "message": format!("{} of {} can't be bound: {}", unmet.missing, unmet.organisation, unmet.shape),
     })
 }
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -1,176 +1,203 @@
-//! What becomes of attempts: those that lapse, are barred, settled, or tried again.
+//! Attempts that time out, are invalidated, resolved, or followed by another attempt.
 
 use std::time::Duration;
 
 use sapphire_wire::{Bar, BarReply, JobState, Peer, TaskState, frame, id, peer};
 
 use crate::{
-    attempt::{Attempt, Fate, Phase},
+    attempt::{Attempt, Outcome, Phase},
     effect::Output,
 };
 
-use super::{PART, Planner, Surroundings, cancelled};
+use super::{Context, LOG_PART, Planner, cancel_reason};
 
 impl Planner {
     pub(super) fn tick_attempt(
         &mut self,
         now: Duration,
         id: &str,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        let patience = self.options.lease + self.options.silence;
-        let late = |since: Duration| now.saturating_sub(since) > patience;
-        if attempt.waits_for_lead() && self.is_lead_restarted(attempt, around) {
-            self.settle(id, "the lead has restarted", out);
+        let timeout = self.options.lease + self.options.silence;
+        let is_overdue = |since: Duration| now.saturating_sub(since) > timeout;
+        if attempt.awaits_coordinator() && self.has_coordinator_restarted(attempt, context) {
+            self.resolve(id, "the lead has restarted", out);
             return;
         }
         match attempt.phase {
             Phase::Holding { until } if now >= until => {
-                self.settle(id, "not every agent granted its hold in time", out);
+                self.resolve(id, "not every agent granted its hold in time", out);
             }
-            Phase::Decided { since } if late(since) => {
-                self.settle(id, "the lead did not answer the decision", out);
+            Phase::Decided { since } if is_overdue(since) => {
+                self.resolve(id, "the lead did not answer the decision", out);
             }
-            Phase::Running { heard }
-                if late(heard) && !self.is_lead_unreachable(now, id, around) =>
+            Phase::Running { last_report }
+                if is_overdue(last_report)
+                    && !self.is_coordinator_unreachable(now, id, context) =>
             {
-                self.settle(id, "the lead has been silent", out);
+                self.resolve(id, "the lead has been silent", out);
             }
             Phase::Adopted { since }
-                if late(since) && !self.is_lead_unreachable(now, id, around) =>
+                if is_overdue(since) && !self.is_coordinator_unreachable(now, id, context) =>
             {
-                self.settle(id, "its planner was replaced", out);
+                self.resolve(id, "its planner was replaced", out);
             }
-            Phase::Settling => self.settle_gone(now, id, around, out),
+            Phase::Resolving => self.resolve_lost(now, id, context, out),
             _ => {}
         }
     }
 
-    /// Whether another life of the lead has announced itself: it knows nothing of the gang.
-    pub(super) fn is_lead_restarted(&self, attempt: &Attempt, around: &Surroundings<'_>) -> bool {
-        let lead = attempt.lead().and_then(|seat| seat.placement.agent.as_ref());
-        lead.is_some_and(|lead| {
-            let known = around.registry.get(&lead.name);
-            known.is_some_and(|known| known.peer.generation > lead.generation)
+    /// Whether another process of the coordinator's agent has announced itself, which does not know
+    /// the gang.
+    pub(super) fn has_coordinator_restarted(
+        &self,
+        attempt: &Attempt,
+        context: &Context<'_>,
+    ) -> bool {
+        let coordinator =
+            attempt.coordinator().and_then(|assignment| assignment.placement.agent.as_ref());
+        coordinator.is_some_and(|coordinator| {
+            let known = context.registry.get(&coordinator.name);
+            known.is_some_and(|known| known.peer.generation > coordinator.generation)
         })
     }
 
-    /// Whether the lead's agent is silent, but not yet taken as gone.
+    /// Whether the coordinator's agent is silent, but not yet declared lost.
     ///
-    /// Guards a healthy gang against a short cut of the network: to bar it would throw its work
-    /// away, while its accelerators are out of reach in any case.
-    pub(super) fn is_lead_unreachable(
+    /// Guards a healthy gang against a short network partition: invalidating it would discard its
+    /// work, while its accelerators are out of reach in any case.
+    pub(super) fn is_coordinator_unreachable(
         &self,
         now: Duration,
         id: &str,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
     ) -> bool {
-        let lead = self.attempts.get(id).and_then(Attempt::lead);
-        let Some(lead) = lead.and_then(|seat| seat.placement.agent.as_ref()) else { return false };
-        let agent = around.registry.get(&lead.name);
-        agent.is_some_and(|agent| !around.registry.is_heard(now, agent))
+        let assignment = self.attempts.get(id).and_then(Attempt::coordinator);
+        let Some(peer) = assignment.and_then(|a| a.placement.agent.as_ref()) else { return false };
+        let agent = context.registry.get(&peer.name);
+        agent.is_some_and(|agent| !context.registry.is_reachable(now, agent))
     }
 
-    /// Repeats the bar at agents that have not answered; those that are gone will not.
-    pub(super) fn settle_gone(
+    /// Repeats the request to invalidate the attempt at agents that have not replied. Agents that
+    /// were declared lost will not reply.
+    pub(super) fn resolve_lost(
         &mut self,
         now: Duration,
         id: &str,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        for seat in attempt.seats.values_mut().filter(|seat| seat.settled.is_none()) {
-            let Some(agent) = &seat.placement.agent else { continue };
-            if around.registry.is_gone(agent) {
-                seat.settled = Some(TaskState::TaskUnknown);
+        for assignment in
+            attempt.assignments.values_mut().filter(|assignment| assignment.final_state.is_none())
+        {
+            let Some(agent) = &assignment.placement.agent else { continue };
+            if context.registry.is_lost(agent) {
+                assignment.final_state = Some(TaskState::TaskUnknown);
             }
         }
-        self.send_bars(id, out);
-        self.close_settled(now, id, out);
+        self.send_invalidations(id, out);
+        self.finish_resolved(now, id, out);
     }
 
-    pub(super) fn send_bars(&self, id: &str, out: &mut Output) {
+    pub(super) fn send_invalidations(&self, id: &str, out: &mut Output) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        for seat in attempt.seats.values().filter(|seat| seat.settled.is_none()) {
-            self.send_bar(id, seat.placement.agent.as_ref(), out);
+        for assignment in
+            attempt.assignments.values().filter(|assignment| assignment.final_state.is_none())
+        {
+            self.send_invalidation(id, assignment.placement.agent.as_ref(), out);
         }
     }
 
-    pub(super) fn send_bar(&self, attempt: &str, agent: Option<&Peer>, out: &mut Output) {
+    pub(super) fn send_invalidation(&self, attempt: &str, agent: Option<&Peer>, out: &mut Output) {
         let Some(agent) = agent else { return };
         let bar = Bar { attempt: attempt.to_owned(), epoch: Some(self.epoch.clone()) };
         out.send(agent, frame::Body::Bar(bar));
     }
 
-    /// Begins to find out what became of an attempt, by barring it everywhere.
-    pub(super) fn settle(&mut self, id: &str, reason: &str, out: &mut Output) {
+    /// Begins to resolve the outcome of an attempt by invalidating it at all its agents.
+    pub(super) fn resolve(&mut self, id: &str, reason: &str, out: &mut Output) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        if attempt.phase != Phase::Settling {
-            attempt.phase = Phase::Settling;
+        if attempt.phase != Phase::Resolving {
+            attempt.phase = Phase::Resolving;
             attempt.reason = reason.to_owned();
-            out.log(PART, format!("attempt={id} settling reason=\"{reason}\""));
-            self.send_bars(id, out);
+            out.log(LOG_PART, format!("attempt={id} resolving outcome reason=\"{reason}\""));
+            self.send_invalidations(id, out);
         }
     }
 
-    pub(super) fn close_settled(&mut self, now: Duration, id: &str, out: &mut Output) {
-        let Some(fate) = self.attempts.get(id).and_then(Attempt::fate) else { return };
+    pub(super) fn finish_resolved(&mut self, now: Duration, id: &str, out: &mut Output) {
+        let Some(outcome) = self.attempts.get(id).and_then(Attempt::outcome) else { return };
         let Some(attempt) = self.attempts.remove(id) else { return };
         for worker in &attempt.refused_by {
-            self.backoff.refused(now, worker);
+            self.backoff.hold_refused(now, worker);
         }
         let Some(job) = self.table.get_mut(&attempt.job) else { return };
         let reason = attempt.reason.clone();
-        let may_repeat = job.idempotent || fate == Fate::NotRun;
-        job.may_have_run |= fate != Fate::NotRun;
-        let (state, reason) = match (fate, job.cancel, may_repeat) {
-            (_, true, _) => (JobState::JobCancelled, cancelled(job.may_have_run).to_owned()),
+        let may_repeat = job.idempotent || outcome == Outcome::NotRun;
+        job.may_have_run |= outcome != Outcome::NotRun;
+        let (state, reason) = match (outcome, job.cancel, may_repeat) {
+            (_, true, _) => (JobState::JobCancelled, cancel_reason(job.may_have_run).to_owned()),
             (_, false, true) => (JobState::JobWaiting, reason),
-            (Fate::Unknown, false, false) => (JobState::JobUnknown, reason),
+            (Outcome::Unknown, false, false) => (JobState::JobUnknown, reason),
             (_, false, false) => (JobState::JobInterrupted, reason),
         };
         if state == JobState::JobWaiting {
-            let counts = fate != Fate::NotRun && !attempt.is_evicted;
-            self.requeue(now, &attempt.job, &reason, counts);
+            let counts_as_attempt = outcome != Outcome::NotRun && !attempt.is_evicted;
+            self.requeue(now, &attempt.job, &reason, counts_as_attempt);
         } else {
-            self.end(now, &attempt.job, state, &reason, out);
+            self.end_job(now, &attempt.job, state, &reason, out);
         }
     }
 
-    pub(super) fn requeue(&mut self, now: Duration, id: &str, reason: &str, counts: bool) {
+    pub(super) fn requeue(
+        &mut self,
+        now: Duration,
+        id: &str,
+        reason: &str,
+        counts_as_attempt: bool,
+    ) {
         let Some(job) = self.table.get_mut(id) else { return };
         job.set_state(JobState::JobWaiting);
-        if !counts {
+        if !counts_as_attempt {
             job.attempts = job.attempts.saturating_sub(1);
         }
-        self.why.insert(id.to_owned(), format!("waits again: {reason}"));
+        self.wait_reasons.insert(id.to_owned(), format!("waits again: {reason}"));
         self.backoff.delay_job(now, id);
-        self.touch(id);
+        self.mark_changed(id);
     }
 
-    /// Bars what is under way for a job that has ended by another attempt.
-    pub(super) fn drop_attempts(&mut self, job: &str, out: &mut Output) {
+    /// Invalidates the attempts of a job that has ended by another attempt.
+    pub(super) fn invalidate_attempts(&mut self, job: &str, out: &mut Output) {
         let own = self.attempts.iter().filter(|(_, attempt)| attempt.job == job);
         let own: Vec<id::Attempt> = own.map(|(id, _)| id.clone()).collect();
         for id in own {
-            self.send_bars(&id, out);
+            self.send_invalidations(&id, out);
             self.attempts.remove(&id);
         }
     }
 
-    /// Takes an agent's word on an attempt that is being settled.
-    pub fn bar_reply(&mut self, now: Duration, from: &Peer, reply: &BarReply, out: &mut Output) {
+    /// Handles an agent's reply about an attempt whose outcome is being resolved.
+    pub fn handle_invalidation_reply(
+        &mut self,
+        now: Duration,
+        from: &Peer,
+        reply: &BarReply,
+        out: &mut Output,
+    ) {
         let Some(attempt) = self.attempts.get_mut(&reply.attempt) else { return };
-        let Some(seat) = attempt.seats.get_mut(&from.name) else { return };
-        let is_same_life =
-            seat.placement.agent.as_ref().is_some_and(|agent| peer::is_same_life(agent, from));
-        let state = if is_same_life { reply.state() } else { TaskState::TaskUnknown };
-        if attempt.phase == Phase::Settling && state != TaskState::TaskRunning {
-            seat.settled = Some(state);
-            self.close_settled(now, &reply.attempt, out);
+        let Some(assignment) = attempt.assignments.get_mut(&from.name) else { return };
+        let is_same_process = assignment
+            .placement
+            .agent
+            .as_ref()
+            .is_some_and(|agent| peer::is_same_life(agent, from));
+        let state = if is_same_process { reply.state() } else { TaskState::TaskUnknown };
+        if attempt.phase == Phase::Resolving && state != TaskState::TaskRunning {
+            assignment.final_state = Some(state);
+            self.finish_resolved(now, &reply.attempt, out);
         }
     }
 }
--- a/crates/entry/src/planner/calls.rs
+++ b/crates/entry/src/planner/calls.rs
@@ -1,4 +1,4 @@
-//! Callers' calls: jobs handed in, cancelled, listed and explained.
+//! Callers' calls about jobs: submission, cancellation, listing and explanation.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 
 use crate::{admission, effect::Output, view};
 
-use super::{PART, Planner, Surroundings, cancelled, millis, refused};
+use super::{Context, LOG_PART, Planner, cancel_reason, millis, refused_reply};
 
 impl Planner {
-    /// Takes a call of an entry, for its caller.
-    pub fn call(
+    /// Handles a call that an entry forwards for its caller.
+    pub fn handle_call(
         &mut self,
         now: Duration,
         from: &Peer,
         call: JobCall,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) {
         let number = call.call;
         let reply = match call.body {
-            Some(job_call::Body::Submit(job)) => self.submit(now, from, number, job, around),
+            Some(job_call::Body::Submit(job)) => self.submit(now, from, number, job, context),
             Some(job_call::Body::Cancel(id)) => self.cancel(now, from, number, &id, out),
-            Some(job_call::Body::Wait(wait)) => self.table.wait(from, number, &wait.job),
-            Some(job_call::Body::Get(id)) => Some(self.table.found(&id)),
+            Some(job_call::Body::Wait(wait)) => self.table.when_ended(from, number, &wait.job),
+            Some(job_call::Body::Get(id)) => Some(self.table.job_reply(&id)),
             Some(job_call::Body::Explain(id)) => Some(self.explain(&id)),
             Some(job_call::Body::List(organisation)) => Some(self.list(&organisation)),
             None => None,
@@ -34,27 +34,28 @@
         }
     }
 
-    /// Accepts a job, once it is kept, or refuses it at once with the reason. A submission that
-    /// is repeated (its answer was lost, or another entry was asked) finds the job it made.
+    /// Accepts a job, with a reply once it has been stored, or refuses it at once with the reason.
+    /// A repeated submission, because a reply was lost or another entry was tried, finds the job of
+    /// the first one.
     pub(super) fn submit(
         &mut self,
         now: Duration,
         from: &Peer,
         call: u64,
         mut job: Job,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
     ) -> Option<JobReply> {
         if let Some(known) = self.table.get(&job.id).cloned() {
             let is_same = known.organisation == job.organisation
                 && known.shape == job.shape
                 && known.command == job.command;
             if !is_same {
-                return Some(refused("the idempotency key was used for another job", None));
+                return Some(refused_reply("the idempotency key was used for another job", None));
             }
-            return self.table.owe(from, call, &known.id);
+            return self.table.when_stored(from, call, &known.id);
         }
-        if let Err(error) = self.admit(&job, around, now) {
-            return Some(refused(&error.reason, error.retry));
+        if let Err(error) = self.admit(&job, context, now) {
+            return Some(refused_reply(&error.reason, error.retry_after));
         }
         job.submitted_unix_ms = millis(now);
         if job.deadline_unix_ms > 0 {
@@ -63,20 +64,20 @@
         job.set_state(JobState::JobWaiting);
         let id = job.id.clone();
         self.table.insert(job);
-        self.needs_schedule = true;
-        self.table.owe(from, call, &id)
+        self.needs_pass = true;
+        self.table.when_stored(from, call, &id)
     }
 
     pub(super) fn admit(
         &self,
         job: &Job,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         now: Duration,
     ) -> Result<(), admission::Error> {
-        let mut fleet = around.registry.fleet(now, &self.options.region, |_, _, _| false);
-        self.bindings.mark(&mut fleet);
+        let mut fleet = context.registry.fleet(now, &self.options.region, |_, _, _| false);
+        self.bindings.mark_bound(&mut fleet);
         let options = admission::Options {
-            rules: around.rules,
+            rules: context.rules,
             fleet: &fleet,
             table: &self.table,
             max_jobs: self.options.max_jobs,
@@ -85,9 +86,9 @@
     }
 
     pub(super) fn explain(&self, id: &str) -> JobReply {
-        let mut reply = self.table.found(id);
+        let mut reply = self.table.job_reply(id);
         for job in &mut reply.jobs {
-            if let Some(why) = self.why.get(&job.id).filter(|_| job.reason.is_empty()) {
+            if let Some(why) = self.wait_reasons.get(&job.id).filter(|_| job.reason.is_empty()) {
                 job.reason = why.clone();
             }
         }
@@ -108,27 +109,27 @@
         id: &str,
         out: &mut Output,
     ) -> Option<JobReply> {
-        let Some(job) = self.table.get_mut(id) else { return Some(self.table.found(id)) };
+        let Some(job) = self.table.get_mut(id) else { return Some(self.table.job_reply(id)) };
         match job.state() {
             JobState::JobWaiting => {
                 job.cancel = true;
-                let reason = cancelled(job.may_have_run);
-                self.end(now, id, JobState::JobCancelled, reason, out);
+                let reason = cancel_reason(job.may_have_run);
+                self.end_job(now, id, JobState::JobCancelled, reason, out);
             }
             JobState::JobStarting | JobState::JobRunning if !job.cancel => {
                 job.cancel = true;
                 let attempt = job.attempt.as_ref().map(|attempt| attempt.id.clone());
-                self.touch(id);
+                self.mark_changed(id);
                 if let Some(attempt) = attempt {
-                    self.settle(&attempt, "cancelled", out);
+                    self.resolve(&attempt, "cancelled", out);
                 }
             }
             _ => {}
         }
-        self.table.owe(from, call, id)
+        self.table.when_stored(from, call, id)
     }
 
-    pub(super) fn end(
+    pub(super) fn end_job(
         &mut self,
         now: Duration,
         id: &str,
@@ -140,11 +141,11 @@
         job.set_state(state);
         job.reason = reason.to_owned();
         job.ended_unix_ms = millis(now);
-        out.log(PART, format!("job={id} state={} reason=\"{reason}\"", view::job_state(state)));
-        self.why.remove(id);
-        self.backoff.forget_job(id);
-        self.touch(id);
-        self.table.forget_ended();
-        self.table.pay(out);
+        out.log(LOG_PART, format!("job={id} state={} reason=\"{reason}\"", view::job_state(state)));
+        self.wait_reasons.remove(id);
+        self.backoff.end_delay(id);
+        self.mark_changed(id);
+        self.table.remove_ended();
+        self.table.send_due_replies(out);
     }
 }
--- a/crates/entry/src/planner/mod.rs
+++ b/crates/entry/src/planner/mod.rs
@@ -1,4 +1,4 @@
-//! The planner of one cell: the job table, and each attempt at running a gang.
+//! Planner of one cell: its jobs, and the attempts at running their gangs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    attempt::{Attempt, Phase, Seat},
+    attempt::{Assignment, Attempt, Phase},
     backoff::Backoff,
     bindings::Bindings,
     effect::Output,
@@ -30,16 +30,16 @@
 mod reports;
 mod starts;
 
-/// Part that the planner's log lines name.
-const PART: &str = "plan";
+/// Part of the log that the planner's lines belong to.
+const LOG_PART: &str = "plan";
 /// Key of a cell in the store.
 pub fn cell_key(region: &str) -> String {
     format!("cell/{region}")
 }
 
-/// What the planner looks at besides its own state.
-pub struct Surroundings<'a> {
-    /// Agents known.
+/// State of the entry that the planner reads.
+pub struct Context<'a> {
+    /// Known agents.
     pub registry: &'a registry::Registry,
     /// Rules in force.
     pub rules: &'a file::File,
@@ -47,16 +47,16 @@
     pub revision: id::Revision,
 }
 
-/// Whether the planner may go on.
+/// Whether the planner may continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// It plans the cell.
     Planner,
-    /// Another planner has written the cell; its term.
-    Deposed(Revision),
+    /// Another planner, with this term, has written the cell.
+    Superseded(Revision),
 }
 
-/// Planner of one cell.
+/// State of the planner of one cell.
 pub struct Planner {
     options: options::Options,
     epoch: Epoch,
@@ -64,11 +64,11 @@
     bindings: Bindings,
     attempts: BTreeMap<id::Attempt, Attempt>,
     backoff: Backoff,
-    why: BTreeMap<id::Job, String>,
+    wait_reasons: BTreeMap<id::Job, String>,
     estimates: Estimates,
-    /// When every agent is looked at again.
+    /// When all agents are reviewed again.
     next_review: Duration,
-    needs_schedule: bool,
+    needs_pass: bool,
 }
 
 fn millis(now: Duration) -> u64 {
@@ -76,19 +76,20 @@
 }
 
 impl Planner {
-    /// Takes over a cell as the store holds it. The first write carries the new epoch, so that
-    /// an earlier planner's next write meets a conflict and it learns that it was replaced.
+    /// Takes over a cell from the stored document. The first write carries the new epoch, so that
+    /// the next write of an earlier planner meets a conflict, from which it learns that it was
+    /// replaced.
     ///
-    /// `taking` numbers the take-overs of this process, so that write identifiers stay unique.
+    /// `takeover` counts the take-overs by this process, so that write identifiers stay unique.
     pub fn new(
         now: Duration,
         options: &options::Options,
         epoch: Epoch,
-        taking: u64,
+        takeover: u64,
         cell: &Value,
     ) -> Self {
         let stored = Cell::decode(cell.bytes.clone()).unwrap_or_default();
-        let prefix = format!("{}-{:x}-{taking}", options.me.name, options.me.generation);
+        let prefix = format!("{}-{:x}-{takeover}", options.me.name, options.me.generation);
         let mut planner = Planner {
             options: options.clone(),
             epoch,
@@ -96,10 +97,10 @@
             bindings: Bindings::adopt(&stored),
             attempts: BTreeMap::new(),
             backoff: Backoff::default(),
-            why: BTreeMap::new(),
+            wait_reasons: BTreeMap::new(),
             estimates: Estimates::default(),
             next_review: Duration::ZERO,
-            needs_schedule: true,
+            needs_pass: true,
         };
         for job in stored.jobs {
             planner.adopt(now, job);
@@ -109,8 +110,8 @@
 
     /// Takes over a job.
     ///
-    /// Guards against an earlier planner that started a job that may repeat while the store was
-    /// out: nothing is recorded of that, so such a job is never said not to have run.
+    /// Guards against an earlier planner that started an idempotent job while the store was
+    /// unavailable. Nothing is recorded of that start, so such a job is never reported as not run.
     fn adopt(&mut self, now: Duration, mut job: Job) {
         job.may_have_run |= job.idempotent && !view::is_ended(job.state());
         let is_live = matches!(job.state(), JobState::JobStarting | JobState::JobRunning);
@@ -123,21 +124,21 @@
     }
 
     fn adopt_attempt(&mut self, now: Duration, job: &str, recorded: &sapphire_wire::Attempt) {
-        let seat = |placement: &Placement| {
+        let assignment = |placement: &Placement| {
             let name = placement.agent.as_ref().map(|a| a.name.clone()).unwrap_or_default();
-            let seat = Seat {
+            let assignment = Assignment {
                 placement: placement.clone(),
                 worker: placement.worker.clone(),
                 is_granted: false,
-                settled: None,
+                final_state: None,
             };
-            (name, seat)
+            (name, assignment)
         };
         let attempt = Attempt {
             job: job.to_owned(),
             is_guaranteed: recorded.guaranteed,
             phase: Phase::Adopted { since: now },
-            seats: recorded.placements.iter().map(seat).collect(),
+            assignments: recorded.placements.iter().map(assignment).collect(),
             change: 0,
             may_have_started: true,
             reason: "its planner was replaced".to_owned(),
@@ -147,7 +148,7 @@
         self.attempts.insert(recorded.id.clone(), attempt);
     }
 
-    /// Epoch with which it plans.
+    /// Epoch of this planner.
     pub fn epoch(&self) -> &Epoch {
         &self.epoch
     }
@@ -157,7 +158,7 @@
         self.table.jobs()
     }
 
-    /// Attempts under way.
+    /// Attempts in progress.
     pub fn attempts(&self) -> &BTreeMap<id::Attempt, Attempt> {
         &self.attempts
     }
@@ -167,17 +168,17 @@
         self.bindings.all()
     }
 
-    /// Guarantees that the workers at hand can't hold.
-    pub fn short(&self) -> &[bind::Short] {
-        self.bindings.short()
+    /// Guarantees that the available workers can't satisfy.
+    pub fn unmet(&self) -> &[bind::Short] {
+        self.bindings.unmet()
     }
 
-    fn touch(&mut self, job: &str) {
-        self.table.touch(job);
-        self.needs_schedule = true;
+    fn mark_changed(&mut self, job: &str) {
+        self.table.mark_changed(job);
+        self.needs_pass = true;
     }
 
-    /// Next write, if one is due.
+    /// Next write to the store, if one is due.
     pub fn poll(&mut self, now: Duration) -> Option<Call> {
         let (epoch, bindings) = (&self.epoch, &self.bindings);
         self.table.poll(now, || Cell {
@@ -188,71 +189,72 @@
         })
     }
 
-    /// Takes the answer to a write.
-    pub fn written(&mut self, now: Duration, reply: Reply, out: &mut Output) -> Standing {
-        match self.table.reply(now, reply) {
+    /// Handles the reply to a write.
+    pub fn handle_write_reply(&mut self, now: Duration, reply: Reply, out: &mut Output) -> Status {
+        match self.table.handle_write_reply(now, reply) {
             writer::Outcome::Lost(value) => {
                 let cell = Cell::decode(value.bytes).unwrap_or_default();
-                return Standing::Deposed(cell.epoch.unwrap_or_default().term);
+                return Status::Superseded(cell.epoch.unwrap_or_default().term);
             }
-            writer::Outcome::Retry => out.log(PART, "store write got no answer".to_owned()),
+            writer::Outcome::Retry => out.log(LOG_PART, "store write got no reply".to_owned()),
             writer::Outcome::Written(_) => {}
         }
-        self.needs_schedule = true;
-        self.table.pay(out);
-        self.decide_held(now, out);
-        Standing::Planner
+        self.needs_pass = true;
+        self.table.send_due_replies(out);
+        self.start_held(now, out);
+        Status::Planner
     }
 
-    /// Sends an agent its part of the rules, if it has an older one.
-    pub fn greet(&self, agent: &registry::Agent, around: &Surroundings<'_>, out: &mut Output) {
+    /// Sends an agent the rules that concern its worker, if those that it applies are older.
+    pub fn send_slice(&self, agent: &registry::Agent, context: &Context<'_>, out: &mut Output) {
         if agent.region != self.options.region {
             return;
         }
-        if let Some(slice) = self.bindings.slice_for(agent, &self.epoch, around) {
+        if let Some(slice) = self.bindings.slice_for(agent, &self.epoch, context) {
             out.send(&agent.peer, frame::Body::Slice(slice));
         }
     }
 
-    /// Time has passed: bindings, time-outs of attempts, waiting jobs.
-    pub fn tick(&mut self, now: Duration, around: &Surroundings<'_>, out: &mut Output) {
+    /// Handles the passage of time: bindings, timeouts of attempts, waiting jobs.
+    pub fn tick(&mut self, now: Duration, context: &Context<'_>, out: &mut Output) {
         if now >= self.next_review {
             self.next_review = now + self.options.heartbeat;
-            self.review(now, around, out);
+            self.review_agents(now, context, out);
         }
         let attempts: Vec<id::Attempt> = self.attempts.keys().cloned().collect();
         for attempt in attempts {
-            self.tick_attempt(now, &attempt, around, out);
+            self.tick_attempt(now, &attempt, context, out);
         }
-        self.needs_schedule |= self.backoff.expire(now);
-        self.table.pay(out);
-        self.schedule(now, around, out);
+        self.needs_pass |= self.backoff.expire(now);
+        self.table.send_due_replies(out);
+        self.schedule(now, context, out);
         self.assert_invariants();
     }
 
-    /// Looks at every agent; at each heartbeat, since it costs time for each of them.
-    fn review(&mut self, now: Duration, around: &Surroundings<'_>, out: &mut Output) {
-        let fleet = self.fleet(now, around);
-        if self.bindings.renew(&fleet, &self.options.region, around, out) {
-            self.table.bump();
+    /// Reviews all agents. Done once per heartbeat interval, since the cost grows with their
+    /// number.
+    fn review_agents(&mut self, now: Duration, context: &Context<'_>, out: &mut Output) {
+        let fleet = self.fleet(now, context);
+        if self.bindings.update(&fleet, &self.options.region, context, out) {
+            self.table.mark_document_changed();
         }
-        // Workers may have come or gone.
-        self.needs_schedule = true;
-        for agent in around.registry.agents().values() {
-            self.greet(agent, around, out);
+        // Workers may have been added or lost.
+        self.needs_pass = true;
+        for agent in context.registry.agents().values() {
+            self.send_slice(agent, context, out);
         }
     }
 
-    /// Newer rules are in force: binds and tells the agents without waiting.
-    pub fn rules_changed(&mut self, now: Duration, around: &Surroundings<'_>, out: &mut Output) {
+    /// Newer rules are in force: updates the bindings and the agents at once.
+    pub fn rules_changed(&mut self, now: Duration, context: &Context<'_>, out: &mut Output) {
         self.next_review = Duration::ZERO;
-        self.tick(now, around, out);
+        self.tick(now, context, out);
     }
 
-    /// Checks that no job has two attempts and that live jobs and attempts match.
+    /// Checks that no job has two attempts, and that jobs and attempts in progress match.
     ///
     /// # Panics
-    /// When the planner contradicts itself; the process must not go on.
+    /// When the state of the planner is inconsistent; the process must not continue.
     pub fn assert_invariants(&self) {
         let mut seen = BTreeSet::new();
         for (id, attempt) in &self.attempts {
@@ -267,7 +269,7 @@
         }
     }
 
-    /// One line for operators.
+    /// Summary for the log.
     pub fn summary(&self) -> String {
         format!(
             "epoch={} jobs={} attempts={}",
@@ -278,13 +280,13 @@
     }
 }
 
-fn cancelled(may_have_run: bool) -> &'static str {
+fn cancel_reason(may_have_run: bool) -> &'static str {
     if may_have_run { "cancelled; some of it may have run" } else { "cancelled before it ran" }
 }
 
-fn refused(reason: &str, retry: Option<Duration>) -> JobReply {
+fn refused_reply(reason: &str, retry_after: Option<Duration>) -> JobReply {
     let mut reply = JobReply { reason: reason.to_owned(), ..JobReply::default() };
     reply.set_state(CallState::CallRefused);
-    reply.retry_after_ms = retry.map_or(0, millis);
+    reply.retry_after_ms = retry_after.map_or(0, millis);
     reply
 }
--- a/crates/entry/src/planner/reports.rs
+++ b/crates/entry/src/planner/reports.rs
@@ -1,4 +1,4 @@
-//! What agents report of gangs.
+//! Reports of coordinators on their gangs.
 
 use std::time::Duration;
 
@@ -6,51 +6,54 @@
 
 use crate::{attempt::Phase, candidates, effect::Output, view};
 
-use super::{PART, Planner, cancelled, millis};
+use super::{LOG_PART, Planner, cancel_reason, millis};
 
 impl Planner {
-    /// Takes a lead's word on its gang. The attempt is barred, which tells the lead to forget
-    /// it, only after the outcome is kept: until then the lead's memory is the only record.
-    pub fn report(&mut self, now: Duration, from: &Peer, report: &Report, out: &mut Output) {
+    /// Handles a coordinator's report. The attempt is invalidated, upon which the coordinator
+    /// forgets it, only after the outcome has been stored: until then the coordinator's memory is
+    /// the only record.
+    pub fn handle_report(&mut self, now: Duration, from: &Peer, report: &Report, out: &mut Output) {
         let Some(attempt) = self.attempts.get_mut(&report.attempt) else {
-            self.unknown_report(now, from, report, out);
+            self.report_unknown_attempt(now, from, report, out);
             return;
         };
-        if attempt.phase != Phase::Settling || report.state() != GangState::GangRunning {
-            self.report_known(now, report, out);
+        if attempt.phase != Phase::Resolving || report.state() != GangState::GangRunning {
+            self.apply_report(now, report, out);
         }
     }
 
-    pub(super) fn report_known(&mut self, now: Duration, report: &Report, out: &mut Output) {
+    pub(super) fn apply_report(&mut self, now: Duration, report: &Report, out: &mut Output) {
         let Some(attempt) = self.attempts.get_mut(&report.attempt) else { return };
         let job = attempt.job.clone();
         match report.state() {
             GangState::GangRunning => {
                 let is_first = !matches!(attempt.phase, Phase::Running { .. });
-                attempt.phase = Phase::Running { heard: now };
+                attempt.phase = Phase::Running { last_report: now };
                 attempt.may_have_started = true;
                 if is_first {
-                    self.note_running(now, &job, &report.attempt, out);
+                    self.mark_running(now, &job, &report.attempt, out);
                 }
             }
             GangState::GangDone => {
                 if let Some(attempt) = self.attempts.remove(&report.attempt) {
-                    self.backoff.succeeded(attempt.seats.values().map(|seat| &seat.worker));
+                    self.backoff.job_succeeded(
+                        attempt.assignments.values().map(|assignment| &assignment.worker),
+                    );
                 }
                 if let Some(job) = self.table.get(&job) {
-                    self.estimates.observe(job, candidates::ran(now, job));
+                    self.estimates.observe(job, candidates::run_time(now, job));
                 }
-                self.end(now, &job, JobState::JobDone, "", out);
+                self.end_job(now, &job, JobState::JobDone, "", out);
             }
             GangState::GangFailed | GangState::GangStopped => {
-                self.failed(now, &report.attempt, report, out);
+                self.handle_gang_failure(now, &report.attempt, report, out);
             }
         }
     }
 
-    /// A lead speaks of an attempt that is not under way here: one whose end is known, or one
-    /// that an earlier planner started while the store was out.
-    pub(super) fn unknown_report(
+    /// Handles a report on an attempt that is not in progress here: its end is already known, or an
+    /// earlier planner started it while the store was unavailable.
+    pub(super) fn report_unknown_attempt(
         &mut self,
         now: Duration,
         from: &Peer,
@@ -64,21 +67,22 @@
         };
         let is_last = job.attempt.as_ref().is_some_and(|last| last.id == report.attempt);
         if job.state() == JobState::JobUnknown && is_last {
-            self.found_again(now, &id, report, out);
+            self.resume_reported(now, &id, report, out);
             return;
         }
         if job.idempotent && !view::is_ended(job.state()) {
             job.may_have_run = true;
             if report.state() == GangState::GangDone {
-                self.drop_attempts(&id, out);
-                self.done_elsewhere(now, &id, &report.attempt, out);
+                self.invalidate_attempts(&id, out);
+                self.end_done_elsewhere(now, &id, &report.attempt, out);
             }
         }
         self.acknowledge(from, &report.attempt, out);
     }
 
-    /// The lead of a job whose fate was unknown can be heard again: the job is what it says.
-    pub(super) fn found_again(
+    /// Handles that the coordinator of a job whose outcome was unknown reports again: the job takes
+    /// the state that it reports.
+    pub(super) fn resume_reported(
         &mut self,
         now: Duration,
         id: &str,
@@ -87,16 +91,16 @@
     ) {
         let Some(job) = self.table.get_mut(id) else { return };
         let recorded = job.attempt.clone().unwrap_or_default();
-        out.log(PART, format!("job={id} found again attempt={}", recorded.id));
+        out.log(LOG_PART, format!("job={id} reported again attempt={}", recorded.id));
         job.set_state(JobState::JobRunning);
         job.reason.clear();
         job.ended_unix_ms = 0;
-        self.touch(id);
+        self.mark_changed(id);
         self.adopt_attempt(now, id, &recorded);
-        self.report_known(now, report, out);
+        self.apply_report(now, report, out);
     }
 
-    pub(super) fn done_elsewhere(
+    pub(super) fn end_done_elsewhere(
         &mut self,
         now: Duration,
         id: &str,
@@ -107,17 +111,17 @@
             let id = attempt.to_owned();
             job.attempt = Some(sapphire_wire::Attempt { id, ..Default::default() });
         }
-        self.end(now, id, JobState::JobDone, "", out);
+        self.end_job(now, id, JobState::JobDone, "", out);
     }
 
     pub(super) fn acknowledge(&self, from: &Peer, attempt: &str, out: &mut Output) {
         let job = attempt.split('/').next().unwrap_or_default();
-        if self.table.is_kept(job) {
-            self.send_bar(attempt, Some(from), out);
+        if self.table.is_stored(job) {
+            self.send_invalidation(attempt, Some(from), out);
         }
     }
 
-    pub(super) fn note_running(
+    pub(super) fn mark_running(
         &mut self,
         now: Duration,
         id: &str,
@@ -129,20 +133,26 @@
             job.set_state(JobState::JobRunning);
             job.may_have_run = true;
             job.started_unix_ms = millis(now);
-            out.log(PART, format!("job={id} state=running attempt={attempt}"));
-            self.touch(id);
-            self.why.remove(id);
+            out.log(LOG_PART, format!("job={id} state=running attempt={attempt}"));
+            self.mark_changed(id);
+            self.wait_reasons.remove(id);
         }
     }
 
-    pub(super) fn failed(&mut self, now: Duration, id: &str, report: &Report, out: &mut Output) {
+    pub(super) fn handle_gang_failure(
+        &mut self,
+        now: Duration,
+        id: &str,
+        report: &Report,
+        out: &mut Output,
+    ) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         let Some(job) = self.table.get_mut(&attempt.job) else { return };
         job.exit_code = report.exit_code;
         job.may_have_run = true;
         let is_failure = report.state() == GangState::GangFailed;
         out.log(
-            PART,
+            LOG_PART,
             format!(
                 "attempt={id} ended failed={is_failure} evicted={} reason=\"{}\"",
                 report.evicted, report.reason
@@ -150,17 +160,17 @@
         );
         let (is_cancelled, is_idempotent) = (job.cancel, job.idempotent);
         if is_failure {
-            self.note_failure(now, &attempt, &report.culprit, out);
-        } else if let Some(seat) = attempt.seats.get(&report.culprit) {
-            self.backoff.lost(now, &seat.worker);
+            self.record_task_failure(now, &attempt, &report.culprit, out);
+        } else if let Some(assignment) = attempt.assignments.get(&report.culprit) {
+            self.backoff.task_lost(now, &assignment.worker);
         }
         if is_cancelled {
-            self.end(now, &attempt.job, JobState::JobCancelled, cancelled(true), out);
+            self.end_job(now, &attempt.job, JobState::JobCancelled, cancel_reason(true), out);
         } else if is_idempotent {
             self.requeue(now, &attempt.job, &report.reason, !report.evicted);
         } else {
             let state = if is_failure { JobState::JobFailed } else { JobState::JobInterrupted };
-            self.end(now, &attempt.job, state, &report.reason, out);
+            self.end_job(now, &attempt.job, state, &report.reason, out);
         }
     }
 }
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -1,4 +1,4 @@
-//! Which jobs start, and the holds and the decision that start them.
+//! Start of jobs: scheduling passes, holds, and the decision to start a gang.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,117 +8,125 @@
 };
 
 use crate::{
-    attempt::{Attempt, Phase, Seat},
+    attempt::{Assignment, Attempt, Phase},
     candidates,
     effect::Output,
 };
 
-use super::{PART, Planner, Surroundings, millis};
+use super::{Context, LOG_PART, Planner, millis};
 
 impl Planner {
-    /// Workers of the cell with what is bound to guarantees and what attempts take.
-    pub(super) fn fleet(&self, now: Duration, around: &Surroundings<'_>) -> fleet::Fleet {
+    /// Workers of the cell, with the accelerators bound to guarantees and the resources used by
+    /// attempts.
+    pub(super) fn fleet(&self, now: Duration, context: &Context<'_>) -> fleet::Fleet {
         let is_drained =
-            |worker: &str, rack: &str, zone: &str| around.rules.is_drained(worker, rack, zone);
-        let mut fleet = around.registry.fleet(now, &self.options.region, is_drained);
-        self.bindings.mark(&mut fleet);
+            |worker: &str, rack: &str, zone: &str| context.rules.is_drained(worker, rack, zone);
+        let mut fleet = context.registry.fleet(now, &self.options.region, is_drained);
+        self.bindings.mark_bound(&mut fleet);
         for attempt in self.attempts.values() {
             let Some(job) = self.table.get(&attempt.job) else { continue };
             let shape = job.shape.unwrap_or_default();
-            for seat in attempt.seats.values().filter(|seat| seat.settled.is_none()) {
-                let tasks = seat.placement.tasks;
+            for assignment in
+                attempt.assignments.values().filter(|assignment| assignment.final_state.is_none())
+            {
+                let tasks = assignment.placement.tasks;
                 let own = attempt.is_guaranteed;
-                fleet.take(&seat.worker, &job.organisation, &shape, tasks, own);
+                fleet.take(&assignment.worker, &job.organisation, &shape, tasks, own);
             }
         }
         fleet
     }
 
-    /// Ends waiting jobs that may not be tried any more, and starts those that fit.
-    pub(super) fn schedule(&mut self, now: Duration, around: &Surroundings<'_>, out: &mut Output) {
-        if !std::mem::take(&mut self.needs_schedule) {
+    /// Ends waiting jobs that can't be tried again, and starts those that fit.
+    pub(super) fn schedule(&mut self, now: Duration, context: &Context<'_>, out: &mut Output) {
+        if !std::mem::take(&mut self.needs_pass) {
             return;
         }
-        self.end_hopeless(now, around, out);
+        self.end_infeasible(now, context, out);
         let running = candidates::running(now, &self.table, &self.attempts, &self.estimates);
         let outcome = pass::pass(pass::Options {
-            rules: around.rules,
-            fleet: self.fleet(now, around),
+            rules: context.rules,
+            fleet: self.fleet(now, context),
             waiting: candidates::waiting(now, &self.table, &self.backoff, &self.estimates),
             running: &running,
-            avoid: &self.backoff.left_out(now),
+            avoid: &self.backoff.excluded_workers(now),
             mechanisms: pass::Mechanisms::default(),
         });
-        self.why.extend(outcome.why);
+        self.wait_reasons.extend(outcome.why);
         for start in outcome.starts {
-            self.start(now, &start, around, out);
+            self.start_attempt(now, &start, context, out);
         }
     }
 
-    /// Workers that fail every task they start, and get nothing for a while.
-    pub fn aside(&self, now: Duration) -> Vec<&id::Worker> {
-        self.backoff.aside(now)
+    /// Quarantined workers: every task that they start fails.
+    pub fn quarantined(&self, now: Duration) -> Vec<&id::Worker> {
+        self.backoff.quarantined(now)
     }
 
-    pub(super) fn note_failure(
+    pub(super) fn record_task_failure(
         &mut self,
         now: Duration,
         attempt: &Attempt,
         culprit: &str,
         out: &mut Output,
     ) {
-        let Some(seat) = attempt.seats.get(culprit) else { return };
-        if let Some(time) = self.backoff.failed(now, &seat.worker, &attempt.job) {
+        let Some(assignment) = attempt.assignments.get(culprit) else { return };
+        if let Some(time) = self.backoff.task_failed(now, &assignment.worker, &attempt.job) {
             out.log(
-                PART,
+                LOG_PART,
                 format!(
-                    "worker={} set aside for={time:?} reason=\"fails every task\"",
-                    seat.worker
+                    "worker={} quarantined for={time:?} reason=\"fails every task\"",
+                    assignment.worker
                 ),
             );
         }
     }
 
-    pub(super) fn end_hopeless(
+    pub(super) fn end_infeasible(
         &mut self,
         now: Duration,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) {
         let waiting = self.table.values().filter(|job| job.state() == JobState::JobWaiting);
         let ends: Vec<_> = waiting
-            .filter_map(|job| Some((job.id.clone(), candidates::hopeless(now, job, around.rules)?)))
+            .filter_map(|job| Some((job.id.clone(), candidates::ending(now, job, context.rules)?)))
             .collect();
         for (id, (state, reason)) in ends {
-            self.end(now, &id, state, &reason, out);
+            self.end_job(now, &id, state, &reason, out);
         }
     }
 
-    /// Records an attempt and asks each agent for its hold.
-    pub(super) fn start(
+    /// Records an attempt and sends a hold to each of its agents.
+    pub(super) fn start_attempt(
         &mut self,
         now: Duration,
         start: &pass::Start,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) {
         let Some(job) = self.table.get(&start.job).cloned() else { return };
         let (outcome, is_guaranteed) = (&start.place, start.is_guaranteed);
         let number = job.attempts + 1;
-        let id = format!("{}/{}.{}.{:x}", job.id, self.epoch.term, self.table.change(), number);
-        let mut seats = BTreeMap::new();
-        for seat in &outcome.seats {
-            let Some(agent) = around.registry.agent_of_worker(&seat.worker) else { return };
+        let id =
+            format!("{}/{}.{}.{:x}", job.id, self.epoch.term, self.table.latest_change(), number);
+        let mut assignments = BTreeMap::new();
+        for assignment in &outcome.seats {
+            let Some(agent) = context.registry.agent_of_worker(&assignment.worker) else { return };
             let agent = agent.peer.clone();
             let name = agent.name.clone();
-            let worker = seat.worker.clone();
+            let worker = assignment.worker.clone();
             let placement =
-                Placement { agent: Some(agent), tasks: seat.tasks, worker: worker.clone() };
-            seats.insert(name, Seat { placement, worker, is_granted: false, settled: None });
+                Placement { agent: Some(agent), tasks: assignment.tasks, worker: worker.clone() };
+            assignments.insert(
+                name,
+                Assignment { placement, worker, is_granted: false, final_state: None },
+            );
         }
-        let workers: Vec<&str> = outcome.seats.iter().map(|seat| seat.worker.as_str()).collect();
+        let workers: Vec<&str> =
+            outcome.seats.iter().map(|assignment| assignment.worker.as_str()).collect();
         out.log(
-            PART,
+            LOG_PART,
             format!(
                 "place job={} attempt={id} choice={} workers={} guaranteed={is_guaranteed} \
                  reason=best-fit runner_up={}",
@@ -128,7 +136,8 @@
                 if outcome.runner_up.is_empty() { "none" } else { &outcome.runner_up },
             ),
         );
-        let placements = seats.values().map(|seat| seat.placement.clone()).collect();
+        let placements =
+            assignments.values().map(|assignment| assignment.placement.clone()).collect();
         if let Some(job) = self.table.get_mut(&job.id) {
             job.set_state(JobState::JobStarting);
             job.reason.clear();
@@ -139,13 +148,13 @@
                 guaranteed: is_guaranteed,
             });
         }
-        self.touch(&job.id);
+        self.mark_changed(&job.id);
         let attempt = Attempt {
             job: job.id.clone(),
             is_guaranteed,
             phase: Phase::Holding { until: now + self.options.hold },
-            seats,
-            change: self.table.change(),
+            assignments,
+            change: self.table.latest_change(),
             may_have_started: false,
             reason: String::new(),
             is_evicted: false,
@@ -157,17 +166,18 @@
 
     pub(super) fn send_holds(&self, id: &str, job: &Job, out: &mut Output) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        let lead = attempt.lead().and_then(|seat| seat.placement.agent.clone());
-        for seat in attempt.seats.values() {
-            let Some(agent) = &seat.placement.agent else { continue };
+        let coordinator =
+            attempt.coordinator().and_then(|assignment| assignment.placement.agent.clone());
+        for assignment in attempt.assignments.values() {
+            let Some(agent) = &assignment.placement.agent else { continue };
             let hold = Hold {
                 attempt: id.to_owned(),
                 epoch: Some(self.epoch.clone()),
                 organisation: job.organisation.clone(),
                 shape: job.shape,
-                tasks: seat.placement.tasks,
+                tasks: assignment.placement.tasks,
                 guaranteed: attempt.is_guaranteed,
-                lead: lead.clone(),
+                lead: coordinator.clone(),
                 ttl_ms: millis(self.options.hold),
                 command: job.command.clone(),
             };
@@ -175,43 +185,44 @@
         }
     }
 
-    /// Takes an agent's word on a hold.
-    pub fn hold_reply(
+    /// Handles an agent's reply to a hold.
+    pub fn handle_hold_reply(
         &mut self,
         now: Duration,
         from: &Peer,
         reply: &HoldReply,
-        around: &Surroundings<'_>,
+        context: &Context<'_>,
         out: &mut Output,
     ) {
         let hold = self.options.hold;
         let Some(attempt) = self.attempts.get_mut(&reply.attempt) else { return };
         let Phase::Holding { until } = attempt.phase else { return };
-        let Some(seat) = attempt.seats.get_mut(&from.name) else { return };
+        let Some(assignment) = attempt.assignments.get_mut(&from.name) else { return };
         match reply.state() {
             HoldState::HoldGranted => {
-                seat.is_granted = true;
-                self.decide_held(now, out);
+                assignment.is_granted = true;
+                self.start_held(now, out);
             }
             HoldState::HoldEvicting => {
-                let grace = around.rules.reclaim().grace;
+                let grace = context.rules.reclaim().grace;
                 attempt.phase = Phase::Holding { until: until.max(now + grace + hold) };
             }
             HoldState::HoldRefused => {
-                attempt.refused_by.push(seat.worker.clone());
+                attempt.refused_by.push(assignment.worker.clone());
                 let reason = format!("{} refused: {}", from.name, reply.reason);
-                self.settle(&reply.attempt, &reason, out);
+                self.resolve(&reply.attempt, &reason, out);
             }
         }
     }
 
-    /// Tells the lead of each gang that is held everywhere and recorded to start it.
+    /// Sends the decision to start to the coordinator of each gang that is held by all its agents
+    /// and recorded in the store.
     ///
-    /// Guards against a planner that dies between the decision and its record: a successor
-    /// that did not know of the attempt could start the job a second time. A job that may
-    /// repeat is started without the record while the store is out.
-    pub(super) fn decide_held(&mut self, now: Duration, out: &mut Output) {
-        let written = self.table.written();
+    /// Guards against a planner that fails between the decision and its record: a successor that
+    /// did not know of the attempt could start the job a second time. An idempotent job is started
+    /// without the record while the store is unavailable.
+    pub(super) fn start_held(&mut self, now: Duration, out: &mut Output) {
+        let written = self.table.stored_change();
         let is_failing = self.table.is_failing();
         for (id, attempt) in &mut self.attempts {
             let Phase::Holding { .. } = attempt.phase else { continue };
@@ -220,10 +231,15 @@
             if !attempt.is_held() || !is_recorded {
                 continue;
             }
-            let Some(lead) = attempt.lead().and_then(|seat| seat.placement.agent.clone()) else {
+            let Some(coordinator) =
+                attempt.coordinator().and_then(|assignment| assignment.placement.agent.clone())
+            else {
                 continue;
             };
-            let members = attempt.seats.values().filter_map(|seat| seat.placement.agent.clone());
+            let members = attempt
+                .assignments
+                .values()
+                .filter_map(|assignment| assignment.placement.agent.clone());
             let decide = Decide {
                 attempt: id.clone(),
                 epoch: Some(self.epoch.clone()),
@@ -231,8 +247,11 @@
             };
             attempt.phase = Phase::Decided { since: now };
             attempt.may_have_started = true;
-            out.log(PART, format!("decide attempt={id} lead={}", lead.name));
-            out.send(&lead, frame::Body::Decide(decide));
+            out.log(
+                LOG_PART,
+                format!("decision to start sent attempt={id} lead={}", coordinator.name),
+            );
+            out.send(&coordinator, frame::Body::Decide(decide));
         }
     }
 }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -1,68 +1,70 @@
-//! Agents that have announced themselves.
+//! Agents that have announced themselves to this entry.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use sapphire_plan::fleet;
 use sapphire_wire::{Announce, Applied, Heartbeat, Load, Minion, Peer, Worker, id, peer, resource};
 
-/// Time-outs of silence after which an agent is taken as gone.
-const GONE_AFTER: u32 = 5;
+/// Number of silence timeouts without a message after which an agent is declared lost and removed.
+const LOST_AFTER: u32 = 5;
 
-/// Heartbeats for each that is answered.
-const WELCOME_EVERY: u64 = 4;
+/// Every n-th heartbeat of an agent is answered.
+const WELCOME_INTERVAL: u64 = 4;
 
-/// Heartbeats of agents of other regions come at a quarter of the rate.
-const FAR_PATIENCE: u32 = 4;
+/// Factor for the silence timeout of agents of other regions, which send only every fourth
+/// heartbeat.
+const REMOTE_TIMEOUT_FACTOR: u32 = 4;
 
-/// One agent, as last heard.
+/// An agent, according to its last messages.
 #[derive(Clone, Debug)]
 pub struct Agent {
-    /// Its address and generation.
+    /// Name, address and generation.
     pub peer: Peer,
-    /// Region it runs in.
+    /// Region in which it runs.
     pub region: String,
-    /// Availability zone it runs in.
+    /// Availability zone in which it runs.
     pub zone: String,
-    /// Worker it guards.
+    /// Worker that it manages, if any.
     pub worker: Option<Worker>,
-    /// Minion it guards.
+    /// Minion that it manages, if any.
     pub minion: Option<Minion>,
-    /// Load as last told.
+    /// Load that it reported last.
     pub load: Load,
-    /// Rules and bindings in force there.
+    /// Rules and bindings that it applies.
     pub applied: Applied,
-    /// When it was last heard.
-    pub heard: Duration,
-    /// Slots that requests of other entries take, as last told.
-    pub others: u32,
-    /// Requests of this entry that it works on.
+    /// Time of the last message.
+    pub last_contact: Duration,
+    /// Slots and queue places used by requests of other entries, according to its last report.
+    pub used_by_others: u32,
+    /// Requests of this entry that it is working on.
     pub in_flight: u32,
-    /// Heartbeats heard in this life.
+    /// Number of heartbeats received from this process of the agent.
     pub heartbeats: u64,
 }
 
 impl Agent {
-    fn places(&self) -> u32 {
+    fn total_places(&self) -> u32 {
         self.minion.as_ref().map_or(0, |minion| minion.slots + minion.waiting)
     }
 
-    /// Slots and places to wait for one that are thought to be free.
+    /// Slots and queue places that are estimated to be free.
     pub fn free_places(&self) -> u32 {
-        self.places().saturating_sub(self.in_flight).saturating_sub(self.others)
+        self.total_places().saturating_sub(self.in_flight).saturating_sub(self.used_by_others)
     }
 
-    /// Slots thought to be free.
+    /// Slots that are estimated to be free.
     pub fn free_slots(&self) -> u32 {
         let waiting = self.minion.as_ref().map_or(0, |minion| minion.waiting);
         self.free_places().saturating_sub(waiting)
     }
 
-    /// Notes how many places are free, as just told. What is taken beyond this entry's own
-    /// requests is others'; those of its own that are still on their way stay counted.
-    pub fn told_places(&mut self, free: u32) {
+    /// Records how many slots and queue places the agent reports as free. Usage beyond this entry's
+    /// own requests is attributed to other entries; own requests that are still on their way stay
+    /// counted.
+    pub fn update_free_places(&mut self, free: u32) {
         self.load.free_slots = free;
-        let taken = self.places().saturating_sub(free);
-        self.others = taken.saturating_sub(self.in_flight);
+        let taken = self.total_places().saturating_sub(free);
+        self.used_by_others = taken.saturating_sub(self.in_flight);
     }
 }
 
@@ -71,39 +73,45 @@
 pub struct Registry {
     silence: Duration,
     region: String,
-    began: Option<Duration>,
+    started: Option<Duration>,
     agents: BTreeMap<id::Process, Agent>,
 }
 
 impl Registry {
-    /// Knows no agent yet.
+    /// Creates an empty registry.
     pub fn new(silence: Duration, region: &str) -> Self {
-        Registry { silence, region: region.to_owned(), began: None, agents: BTreeMap::new() }
+        Registry { silence, region: region.to_owned(), started: None, agents: BTreeMap::new() }
     }
 
-    /// Notes that time has begun.
-    pub fn begin(&mut self, now: Duration) {
-        self.began.get_or_insert(now);
+    /// Records the time of the first event.
+    pub fn record_start(&mut self, now: Duration) {
+        self.started.get_or_insert(now);
     }
 
-    /// Takes out a time in which this process was frozen and could hear nobody.
-    pub fn forgive(&mut self, time: Duration) {
+    /// Excludes the time for which this process was paused and could receive nothing from the
+    /// silence of all agents.
+    pub fn discount_pause(&mut self, time: Duration) {
         for agent in self.agents.values_mut() {
-            agent.heard += time;
+            agent.last_contact += time;
         }
     }
 
-    /// Whether every agent that lives has had time to announce itself.
-    pub fn is_warm(&self, now: Duration) -> bool {
-        self.began.is_some_and(|began| now.saturating_sub(began) >= self.silence)
+    /// Whether every running agent has had time to announce itself.
+    pub fn is_warmed_up(&self, now: Duration) -> bool {
+        self.started.is_some_and(|started| now.saturating_sub(started) >= self.silence)
     }
 
-    /// Silence after which an agent is suspected; those of other regions speak less often.
-    fn patience(&self, agent: &Agent) -> Duration {
-        if agent.region == self.region { self.silence } else { self.silence * FAR_PATIENCE }
+    /// Silence after which an agent is suspected of having failed; longer for other regions, whose
+    /// agents send less often.
+    fn timeout(&self, agent: &Agent) -> Duration {
+        if agent.region == self.region {
+            self.silence
+        } else {
+            self.silence * REMOTE_TIMEOUT_FACTOR
+        }
     }
 
-    /// Takes an announcement. Returns whether the agent, or its life, is new.
+    /// Records an announcement. Returns whether the agent, or this process of it, is new.
     pub fn announce(&mut self, now: Duration, from: &Peer, announce: Announce) -> bool {
         let known = self.agents.get(&from.name);
         if known.is_some_and(|agent| agent.peer.generation > from.generation) {
@@ -119,8 +127,8 @@
             minion: announce.minion,
             load: announce.load.unwrap_or_default(),
             applied: announce.applied.unwrap_or_default(),
-            heard: now,
-            others: 0,
+            last_contact: now,
+            used_by_others: 0,
             in_flight,
             heartbeats: 0,
         };
@@ -128,37 +136,37 @@
         is_new
     }
 
-    /// Takes a heartbeat. Returns false when this life of the agent is not known.
+    /// Records a heartbeat. Returns false when this process of the agent has not been announced.
     ///
-    /// Guards against a paused process that returns after its successor has announced itself:
-    /// generations grow, so an older life never replaces a newer one.
+    /// Guards against a paused process that resumes after its successor has announced itself:
+    /// generations increase, so an earlier process never replaces a later one.
     pub fn heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: &Heartbeat) -> bool {
         let Some(agent) = self.agents.get_mut(&from.name) else { return false };
         if !peer::is_same_life(&agent.peer, from) {
             return agent.peer.generation > from.generation;
         }
-        agent.heard = now;
+        agent.last_contact = now;
         agent.heartbeats += 1;
         agent.applied = heartbeat.applied.unwrap_or_default();
         if let Some(load) = heartbeat.load {
             agent.load = load;
         }
-        agent.told_places(agent.load.free_slots);
+        agent.update_free_places(agent.load.free_slots);
         true
     }
 
-    /// Whether a heartbeat is to be answered: some are, so that the agent knows who lives; to
-    /// answer each would cost as much as to hear it.
+    /// Whether a heartbeat is to be answered. Some are, so that the agent learns which entries run;
+    /// answering each would cost as much as receiving it.
     pub fn is_welcome_due(&self, name: &str) -> bool {
-        self.agents.get(name).is_some_and(|agent| agent.heartbeats.is_multiple_of(WELCOME_EVERY))
+        self.agents.get(name).is_some_and(|agent| agent.heartbeats.is_multiple_of(WELCOME_INTERVAL))
     }
 
-    /// One agent.
+    /// The agent of this name.
     pub fn get(&self, name: &str) -> Option<&Agent> {
         self.agents.get(name)
     }
 
-    /// One agent, to change.
+    /// The agent of this name, for modification.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Agent> {
         self.agents.get_mut(name)
     }
@@ -168,41 +176,40 @@
         &self.agents
     }
 
-    /// Whether an agent has been heard lately.
-    pub fn is_heard(&self, now: Duration, agent: &Agent) -> bool {
-        now.saturating_sub(agent.heard) <= self.patience(agent)
+    /// Whether an agent has sent a message recently.
+    pub fn is_reachable(&self, now: Duration, agent: &Agent) -> bool {
+        now.saturating_sub(agent.last_contact) <= self.timeout(agent)
     }
 
-    /// Whether this life of an agent is surely over or out of reach for long: another life has
-    /// announced itself, or it is not known any more.
-    pub fn is_gone(&self, peer: &Peer) -> bool {
+    /// Whether this process of an agent has ended or been unreachable for long: another process of
+    /// it has announced itself, or it has been removed.
+    pub fn is_lost(&self, peer: &Peer) -> bool {
         self.agents.get(&peer.name).is_none_or(|agent| !peer::is_same_life(&agent.peer, peer))
     }
 
-    /// Forgets agents that have long been silent; returns their names.
+    /// Removes agents that have been silent for too long, and returns their names.
     pub fn forget_silent(&mut self, now: Duration) -> Vec<id::Process> {
-        let is_gone =
-            |agent: &Agent| now.saturating_sub(agent.heard) > self.patience(agent) * GONE_AFTER;
-        let gone: Vec<id::Process> = self
+        let is_lost = |a: &Agent| now.saturating_sub(a.last_contact) > self.timeout(a) * LOST_AFTER;
+        let lost: Vec<id::Process> = self
             .agents
             .iter()
-            .filter(|(_, agent)| is_gone(agent))
+            .filter(|(_, agent)| is_lost(agent))
             .map(|(n, _)| n.clone())
             .collect();
-        for name in &gone {
+        for name in &lost {
             self.agents.remove(name);
         }
-        gone
+        lost
     }
 
-    /// Agent that guards a worker.
+    /// Agent that manages a worker.
     pub fn agent_of_worker(&self, worker: &str) -> Option<&Agent> {
         let guards = |agent: &&Agent| agent.worker.as_ref().is_some_and(|w| w.name == worker);
         self.agents.values().find(guards)
     }
 
-    /// Workers of a region, with nothing bound or taken yet; `is_drained` tells by worker, rack
-    /// and zone.
+    /// Workers of a region, with no accelerators bound and no resources in use. `is_drained`
+    /// decides by names of worker, rack and zone.
     pub fn fleet(
         &self,
         now: Duration,
@@ -212,7 +219,7 @@
         let mut fleet = fleet::Fleet::default();
         for agent in self.agents.values().filter(|agent| agent.region == region) {
             let Some(worker) = &agent.worker else { continue };
-            let is_open = self.is_heard(now, agent)
+            let is_open = self.is_reachable(now, agent)
                 && !agent.load.draining
                 && !is_drained(&worker.name, &worker.rack, &agent.zone);
             let entry = fleet::Worker {
--- a/crates/entry/src/requests.rs
+++ b/crates/entry/src/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests to services: routing, retries, and the account each caller gets.
+//! Callers' requests to services: routing, retries, and the account in each answer.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -19,22 +19,22 @@
     event, options, registry,
 };
 
-/// Part that log lines name.
-const PART: &str = "route";
+/// Part of the log that lines of this module belong to.
+const LOG_PART: &str = "route";
 /// Longest wait for a free slot before a request is shed.
 const QUEUE_WAIT: Duration = Duration::from_millis(500);
-/// Requests that may wait for a slot, for each slot known.
+/// Maximum number of queued requests per known slot.
 const QUEUE_PER_SLOT: usize = 8;
-/// When a caller that was shed may come back.
-const SHED_RETRY: Duration = Duration::from_secs(1);
+/// Time after which a caller whose request was shed may retry.
+const SHED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Clone, Debug)]
 enum Stage {
     /// Waits for a free slot.
     Queued { until: Duration },
     /// Sent to an agent.
-    Sent { agent: Peer, at: Duration, probed: Option<Duration> },
+    Sent { agent: Peer, sent_at: Duration, last_probe: Option<Duration> },
 }
 
 #[derive(Debug)]
@@ -58,7 +58,7 @@
 }
 
 impl Requests {
-    /// None in flight.
+    /// Creates an empty set of requests.
     pub fn new(options: &options::Options) -> Self {
         Requests {
             options: options.clone(),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether none is in flight.
+    /// Whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
@@ -85,8 +85,8 @@
         format!("{}-{:x}-{}", me.name, me.generation, self.count)
     }
 
-    /// Takes a caller's request: sends it on, queues it for a slot, or sheds it at once.
-    pub fn take(
+    /// Accepts a caller's request: sends it to a minion, queues it for a slot, or sheds it at once.
+    pub fn accept(
         &mut self,
         now: Duration,
         caller: event::Caller,
@@ -105,7 +105,7 @@
             .filter_map(|agent| agent.minion.as_ref().map(|minion| minion.slots))
             .sum();
         if slots == 0 {
-            out.answer(caller, unknown_service(&call.name, registry.is_warm(now)));
+            out.answer(caller, unknown_service(&call.name, registry.is_warmed_up(now)));
             return;
         }
         let most_queued = slots as usize * QUEUE_PER_SLOT;
@@ -137,13 +137,13 @@
             agent.minion.as_ref().is_some_and(|minion| minion.service == pending.call.name)
         };
         let is_open = |agent: &&registry::Agent| {
-            registry.is_heard(now, agent) && !agent.load.draining && agent.free_places() > 0
+            registry.is_reachable(now, agent) && !agent.load.draining && agent.free_places() > 0
         };
         let open: Vec<&registry::Agent> =
             registry.agents().values().filter(serves).filter(is_open).collect();
         let is_other = |agent: &&&registry::Agent| !pending.refused_by.contains(&agent.peer.name);
         let others: Vec<&registry::Agent> = open.iter().filter(is_other).copied().collect();
-        // One that refused is asked again only when no other is open.
+        // An agent that refused the request is tried again only when no other is open.
         let wanted = if others.is_empty() { open } else { others };
         wanted.into_iter().map(|agent| self.candidate(agent)).collect()
     }
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Sends a queued request to a minion with a free slot; returns false when there is none.
+    /// Sends a queued request to a minion with a free slot or queue place; returns false when there
+    /// is none.
     fn send(
         &mut self,
         now: Duration,
@@ -184,10 +185,10 @@
         let peer = agent.peer.clone();
         let Some(pending) = self.pending.get_mut(attempt) else { return true };
         pending.tries += 1;
-        pending.stage = Stage::Sent { agent: peer.clone(), at: now, probed: None };
+        pending.stage = Stage::Sent { agent: peer.clone(), sent_at: now, last_probe: None };
         let runner_up = if choice.runner_up.is_empty() { "none" } else { &choice.runner_up };
         out.log(
-            PART,
+            LOG_PART,
             format!(
                 "attempt={attempt} service={} choice={} reason=nearest-with-slots free={} \
                  runner_up={runner_up}",
@@ -207,9 +208,9 @@
         true
     }
 
-    /// Takes an agent's answer. One for an attempt that is not waited for (late, repeated, or
-    /// of a caller that has its answer) is dropped, so that no caller gets another's answer.
-    pub fn answered(
+    /// Handles an agent's answer. An answer to an attempt that is not outstanding (late, repeated,
+    /// or already answered) is dropped, so that no caller receives another caller's answer.
+    pub fn handle_answer(
         &mut self,
         now: Duration,
         from: &Peer,
@@ -219,14 +220,14 @@
         out: &mut Output,
     ) {
         let free = answer.free_slots;
-        self.take_answer(now, from, answer, registry, out);
+        self.apply_answer(now, from, answer, registry, out);
         if let Some(agent) = registry.get_mut(&from.name) {
-            agent.told_places(free);
+            agent.update_free_places(free);
         }
         self.drain_queue(now, registry, rng, out);
     }
 
-    fn take_answer(
+    fn apply_answer(
         &mut self,
         now: Duration,
         from: &Peer,
@@ -241,7 +242,7 @@
         let idempotent = pending.call.is_idempotent;
         match answer.state() {
             AnswerState::AnswerWhole => {
-                self.finish(&answer.attempt.clone(), whole(answer), registry, out)
+                self.finish(&answer.attempt.clone(), complete_answer(answer), registry, out)
             }
             AnswerState::AnswerInterrupted if !idempotent => {
                 let failure = answer::Answer::failure(502, Account::Interrupted, &answer.reason);
@@ -284,7 +285,7 @@
         pending.refused_by.push(agent.name.clone());
         pending.stage = Stage::Queued { until: pending.deadline.min(now + QUEUE_WAIT) };
         let next = self.next_attempt();
-        out.log(PART, format!("attempt={attempt} retried_as={next} reason=\"{reason}\""));
+        out.log(LOG_PART, format!("attempt={attempt} retried_as={next} reason=\"{reason}\""));
         self.pending.insert(next.clone(), pending);
         self.queue.push_front(next);
     }
@@ -305,7 +306,7 @@
         out.answer(pending.caller, answer.with(answer::ATTEMPT, attempt));
     }
 
-    /// Sends what is queued, in order, as far as places are free.
+    /// Sends queued requests in order, as far as places are free.
     fn drain_queue(
         &mut self,
         now: Duration,
@@ -313,22 +314,22 @@
         rng: &mut Pcg64,
         out: &mut Output,
     ) {
-        let mut full: Vec<String> = Vec::new();
+        let mut full_services: Vec<String> = Vec::new();
         for _ in 0..self.queue.len() {
             let Some(attempt) = self.queue.pop_front() else { return };
             let Some(pending) = self.pending.get(&attempt) else { continue };
             let service = pending.call.name.clone();
-            if full.contains(&service) {
+            if full_services.contains(&service) {
                 self.queue.push_back(attempt);
             } else if !self.send(now, &attempt, registry, rng, out) {
-                full.push(service);
+                full_services.push(service);
                 self.queue.push_back(attempt);
             }
         }
     }
 
-    /// Takes an agent's word on an attempt that was probed.
-    pub fn bar_reply(
+    /// Handles an agent's reply to a probe.
+    pub fn handle_probe_reply(
         &mut self,
         now: Duration,
         from: &Peer,
@@ -342,10 +343,11 @@
         if agent.name != from.name {
             return;
         }
-        // A new life of the agent bars what it never saw; the old one may have run it.
-        let is_same_life = agent.generation == from.generation;
+        // A later process of the agent refuses attempts that it never saw, but the earlier one may
+        // have run the request.
+        let is_same_process = agent.generation == from.generation;
         match reply.state() {
-            TaskState::TaskBarred if is_same_life => {
+            TaskState::TaskBarred if is_same_process => {
                 let reason = "the request did not reach its minion";
                 let account = Account::NotRun;
                 self.retry(now, &reply.attempt, account, reason, registry, out);
@@ -355,15 +357,16 @@
         }
     }
 
-    /// Forgets a caller that has left; a queued request is not sent any more.
-    pub fn leave(&mut self, caller: event::Caller) {
+    /// Drops the queued requests of a caller that has disconnected. Requests that were sent stay in
+    /// flight.
+    pub fn caller_left(&mut self, caller: event::Caller) {
         let is_queued = |pending: &Pending| matches!(pending.stage, Stage::Queued { .. });
         self.pending.retain(|_, pending| pending.caller != caller || !is_queued(pending));
         let pending = &self.pending;
         self.queue.retain(|attempt| pending.contains_key(attempt));
     }
 
-    /// Lets deadlines pass, probes silent agents, sends what is queued.
+    /// Enforces deadlines, probes silent agents, and sends queued requests.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -373,14 +376,14 @@
     ) {
         let attempts: Vec<id::Attempt> = self.pending.keys().cloned().collect();
         for attempt in attempts {
-            self.tick_one(now, &attempt, registry, out);
+            self.tick_request(now, &attempt, registry, out);
         }
         let pending = &self.pending;
         self.queue.retain(|attempt| pending.contains_key(attempt));
         self.drain_queue(now, registry, rng, out);
     }
 
-    fn tick_one(
+    fn tick_request(
         &mut self,
         now: Duration,
         attempt: &str,
@@ -395,19 +398,19 @@
                 self.finish(attempt, answer, registry, out);
             }
             Stage::Queued { .. } => {}
-            Stage::Sent { agent, .. } if registry.is_gone(agent) => {
+            Stage::Sent { agent, .. } if registry.is_lost(agent) => {
                 let reason = format!("{} was lost", agent.name);
-                self.lost(now, attempt, &reason, registry, out);
+                self.agent_lost(now, attempt, &reason, registry, out);
             }
             Stage::Sent { .. } if now >= pending.deadline + silence => {
                 let reason = "no answer came before the deadline";
                 let answer = answer::Answer::failure(504, Account::Unknown, reason);
                 self.finish(attempt, answer, registry, out);
             }
-            Stage::Sent { agent, at, probed } => {
-                let last = probed.unwrap_or(*at);
+            Stage::Sent { agent, sent_at, last_probe } => {
+                let last = last_probe.unwrap_or(*sent_at);
                 if now.saturating_sub(last) >= silence {
-                    *probed = Some(now);
+                    *last_probe = Some(now);
                     let bar = Bar { attempt: attempt.to_owned(), epoch: None };
                     out.send(agent, frame::Body::Bar(bar));
                 }
@@ -415,8 +418,9 @@
         }
     }
 
-    /// The agent is gone: an idempotent request goes elsewhere, another is of unknown fate.
-    fn lost(
+    /// Handles that the agent was declared lost: an idempotent request is retried elsewhere, any
+    /// other is answered with an unknown outcome.
+    fn agent_lost(
         &mut self,
         now: Duration,
         attempt: &str,
@@ -434,17 +438,22 @@
     }
 }
 
-/// An entry that has just started has not heard every agent yet: the caller may come back.
-fn unknown_service(name: &str, is_warm: bool) -> answer::Answer {
+/// Answer for a service without minions. An entry that has just started does not know every agent
+/// yet, so the caller may retry.
+fn unknown_service(name: &str, is_warmed_up: bool) -> answer::Answer {
     let reason = format!("no minion has announced the service `{name}`");
-    if is_warm { answer::Answer::failure(404, Account::NotRun, &reason) } else { shed(&reason) }
+    if is_warmed_up {
+        answer::Answer::failure(404, Account::NotRun, &reason)
+    } else {
+        shed(&reason)
+    }
 }
 
 fn shed(reason: &str) -> answer::Answer {
-    answer::Answer::failure(503, Account::NotRun, reason).retry_after(SHED_RETRY)
+    answer::Answer::failure(503, Account::NotRun, reason).retry_after(SHED_RETRY_AFTER)
 }
 
-fn whole(answer: Answer) -> answer::Answer {
+fn complete_answer(answer: Answer) -> answer::Answer {
     let status = u16::try_from(answer.status).unwrap_or(502);
     let headers = answer.headers.into_iter().filter(|header| api::is_end_to_end(&header.name));
     let whole = answer::Answer { status, headers: headers.collect(), body: answer.body };
--- a/crates/entry/src/rulebook.rs
+++ b/crates/entry/src/rulebook.rs
@@ -1,4 +1,4 @@
-//! The rules in force in this process, and how they change.
+//! Rules in force in this process, and changes to them.
 
 use std::time::Duration;
 
@@ -16,32 +16,32 @@
 
 /// Key of the rules in the store.
 pub const KEY: &str = "rules";
-/// Earlier files kept with the current one.
+/// Maximum number of earlier rule files kept with the current one.
 const HISTORY_KEPT: usize = 50;
-/// Largest rules document, in bytes; the store holds values up to a megabyte.
+/// Largest rules document in bytes; the store accepts values of up to one megabyte.
 const MAX_DOCUMENT: usize = 900 * 1024;
-/// Wait before the store is asked again.
-const RETRY: Duration = Duration::from_millis(300);
+/// Delay before a failed call to the store is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// A change on its way into the store.
+/// Change of the rules that is being written to the store.
 #[derive(Debug)]
 struct Pending {
     caller: event::Caller,
     ruleset: Ruleset,
-    /// The write got no answer; the key is read to settle it.
-    is_settling: bool,
+    /// The write got no reply, and the key is read to find out whether it took effect.
+    is_resolving: bool,
 }
 
-/// Rules in force, and their revision at the store.
+/// Rules in force, and the revision of their key in the store.
 #[derive(Debug)]
 pub struct Rulebook {
     current: Ruleset,
     file: file::File,
     store_revision: Revision,
     is_known: bool,
-    is_store_heard: bool,
+    has_store_replied: bool,
     pending: Option<Pending>,
-    is_waiting: bool,
+    is_call_pending: bool,
     retry_at: Duration,
     writes: u64,
 }
@@ -53,9 +53,9 @@
             file: file::File::default(),
             store_revision: 0,
             is_known: false,
-            is_store_heard: false,
+            has_store_replied: false,
             pending: None,
-            is_waiting: false,
+            is_call_pending: false,
             retry_at: Duration::ZERO,
             writes: 0,
         }
@@ -63,12 +63,12 @@
 }
 
 impl Rulebook {
-    /// The rules in force.
+    /// Parsed rules in force.
     pub fn file(&self) -> &file::File {
         &self.file
     }
 
-    /// The document in force.
+    /// Document in force.
     pub fn ruleset(&self) -> &Ruleset {
         &self.current
     }
@@ -78,14 +78,14 @@
         self.current.revision
     }
 
-    /// Whether the store or a peer has told which rules are in force. Until then nothing is
-    /// decided: a process that has just started would otherwise act on no rules at all.
+    /// Whether the store or another entry has reported which rules are in force. Until then this
+    /// process makes no decisions, since it would otherwise act on empty rules after its start.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
     /// Puts a document in force if it is newer; returns whether it was.
-    pub fn offer(&mut self, ruleset: Ruleset) -> bool {
+    pub fn apply_if_newer(&mut self, ruleset: Ruleset) -> bool {
         if ruleset.revision <= self.current.revision {
             return false;
         }
@@ -96,30 +96,30 @@
         true
     }
 
-    /// Next call to the store, if one is due: first a read, then a watch; a write goes before.
+    /// Next call to the store, if one is due: a read first, then watches.
     pub fn poll(&mut self, now: Duration) -> Option<Call> {
-        if self.is_waiting || now < self.retry_at {
+        if self.is_call_pending || now < self.retry_at {
             return None;
         }
-        self.is_waiting = true;
+        self.is_call_pending = true;
         let key = KEY.to_owned();
-        if !self.is_store_heard {
+        if !self.has_store_replied {
             return Some(Call::Get { key });
         }
         Some(Call::Watch { key, above: self.store_revision })
     }
 
-    /// Takes the answer to a read or watch; returns whether newer rules are in force.
-    pub fn watched(&mut self, now: Duration, reply: Reply) -> bool {
-        self.is_waiting = false;
+    /// Handles the reply to a read or watch; returns whether newer rules are in force.
+    pub fn handle_watch_reply(&mut self, now: Duration, reply: Reply) -> bool {
+        self.is_call_pending = false;
         match reply {
             Reply::Value(value) => {
-                self.is_store_heard = true;
+                self.has_store_replied = true;
                 self.is_known = true;
                 self.adopt(&value)
             }
             _ => {
-                self.retry_at = now + RETRY;
+                self.retry_at = now + RETRY_DELAY;
                 false
             }
         }
@@ -130,13 +130,14 @@
             return false;
         }
         self.store_revision = value.revision;
-        Ruleset::decode(value.bytes.clone()).is_ok_and(|ruleset| self.offer(ruleset))
+        Ruleset::decode(value.bytes.clone()).is_ok_and(|ruleset| self.apply_if_newer(ruleset))
     }
 
-    /// Begins to put a file in force.
+    /// Begins to put a rule file in force.
     ///
     /// # Errors
-    /// The answer to give at once: findings, a revision that has moved on, no store.
+    /// The answer for the caller: findings in the file, an outdated revision, a change in progress,
+    /// or a store that has not been reached yet.
     pub fn apply(
         &mut self,
         now: Duration,
@@ -144,14 +145,14 @@
         apply: &api::Apply,
         prefix: &str,
     ) -> Result<Call, Answer> {
-        file::File::parse(&apply.text).map_err(|findings| refuse_findings(&findings))?;
-        if !self.is_store_heard {
+        file::File::parse(&apply.text).map_err(|findings| findings_answer(&findings))?;
+        if !self.has_store_replied {
             let reason = "the store has not been reached yet; the rules are unchanged";
             let answer = Answer::failure(503, Account::NotRun, reason);
             return Err(answer.retry_after(Duration::from_secs(2)));
         }
         if apply.expected != self.current.revision {
-            return Err(self.lost(&apply.text));
+            return Err(self.conflict_answer(&apply.text));
         }
         if self.pending.is_some() {
             let reason = "another change is under way; the rules are unchanged";
@@ -161,7 +162,7 @@
         self.writes += 1;
         let ruleset = self.successor(now, apply, format!("{prefix}-{}", self.writes));
         let value = Bytes::from(ruleset.encode_to_vec());
-        self.pending = Some(Pending { caller, ruleset, is_settling: false });
+        self.pending = Some(Pending { caller, ruleset, is_resolving: false });
         let key = KEY.to_owned();
         Ok(Call::Put { key, expected: self.store_revision, value, lease: None })
     }
@@ -189,52 +190,55 @@
         ruleset
     }
 
-    /// Takes the answer to a write, or to the read that settles one. Returns the next call, or
+    /// Handles the reply to a write, or to the read that resolves one. Returns the next call, or
     /// the caller's answer.
     ///
-    /// Guards against a write that took effect while its answer was lost: the caller is told
-    /// "accepted" only after the document's write identifier, or its place in the history,
-    /// shows so; and "not accepted" only after the key has moved on without it.
-    pub fn written(&mut self, reply: Reply) -> (Option<Call>, Option<(event::Caller, Answer)>) {
+    /// Guards against a write that took effect although its reply was lost. The caller is told
+    /// "accepted" only if the document's write identifier or its history contains the write, and
+    /// "not accepted" only after the key has changed without it.
+    pub fn handle_write_reply(
+        &mut self,
+        reply: Reply,
+    ) -> (Option<Call>, Option<(event::Caller, Answer)>) {
         let Some(mut pending) = self.pending.take() else { return (None, None) };
         match reply {
             Reply::Written(revision) => {
                 self.store_revision = self.store_revision.max(revision);
                 let ruleset = pending.ruleset.clone();
-                self.offer(ruleset);
-                (None, Some((pending.caller, accepted(&pending.ruleset))))
+                self.apply_if_newer(ruleset);
+                (None, Some((pending.caller, accepted_answer(&pending.ruleset))))
             }
             Reply::Conflict(value) | Reply::Value(value) => {
-                let is_own = holds_write(&value, &pending.ruleset);
+                let is_own = contains_write(&value, &pending.ruleset);
                 let is_unchanged = value.revision == self.store_revision;
                 self.adopt(&value);
                 let answer = if is_own {
-                    accepted(&pending.ruleset)
-                } else if is_unchanged && pending.is_settling {
+                    accepted_answer(&pending.ruleset)
+                } else if is_unchanged && pending.is_resolving {
                     let reason = "the store did not answer; the rules are unchanged so far, but \
                                   the write may still arrive: compare `rules show`";
                     Answer::failure(504, Account::Unknown, reason)
                 } else {
-                    self.lost(&pending.ruleset.text)
+                    self.conflict_answer(&pending.ruleset.text)
                 };
                 (None, Some((pending.caller, answer)))
             }
-            _ if pending.is_settling => {
+            _ if pending.is_resolving => {
                 let reason = "the store did not answer; the file may or may not be accepted: \
                               compare `rules show` when the store is back";
                 let answer = Answer::failure(504, Account::Unknown, reason);
                 (None, Some((pending.caller, answer)))
             }
             _ => {
-                pending.is_settling = true;
+                pending.is_resolving = true;
                 self.pending = Some(pending);
                 (Some(Call::Get { key: KEY.to_owned() }), None)
             }
         }
     }
 
-    /// The answer to an operator whose change came too late.
-    fn lost(&self, text: &str) -> Answer {
+    /// Answer to an operator whose file was made from an outdated revision.
+    fn conflict_answer(&self, text: &str) -> Answer {
         let revision = self.current.revision;
         let name = format!("revision {revision}");
         let value = json!({
@@ -248,7 +252,7 @@
     }
 }
 
-fn holds_write(value: &Value, ruleset: &Ruleset) -> bool {
+fn contains_write(value: &Value, ruleset: &Ruleset) -> bool {
     let Ok(stored) = Ruleset::decode(value.bytes.clone()) else { return false };
     let is_past = |past: &Past| {
         past.revision == ruleset.revision
@@ -259,12 +263,12 @@
     stored.write == ruleset.write || stored.history.iter().any(is_past)
 }
 
-fn accepted(ruleset: &Ruleset) -> Answer {
+fn accepted_answer(ruleset: &Ruleset) -> Answer {
     Answer::json(200, &json!({ "account": "done", "revision": ruleset.revision }))
 }
 
-/// The answer to a file with faults.
-pub fn refuse_findings(findings: &[finding::Finding]) -> Answer {
+/// Answer to a rule file with errors.
+pub fn findings_answer(findings: &[finding::Finding]) -> Answer {
     let list: Vec<_> = findings
         .iter()
         .map(|finding| {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,9 +1,9 @@
-//! JSON as callers and operators see it.
+//! JSON representation of jobs for callers and operators.
 
 use sapphire_wire::{Adjacency, Job, JobState, Shape};
 use serde_json::{Value, json};
 
-/// Name of a job's state; for an ended job this is its account.
+/// Name of a job's state; for an ended job this is also its account.
 pub fn job_state(state: JobState) -> &'static str {
     match state {
         JobState::JobWaiting => "waiting",
@@ -18,7 +18,7 @@
     }
 }
 
-/// Whether a job will not change any more.
+/// Whether a job has reached a final state.
 pub fn is_ended(state: JobState) -> bool {
     !matches!(state, JobState::JobWaiting | JobState::JobStarting | JobState::JobRunning)
 }
@@ -31,11 +31,11 @@
     }
 }
 
-/// One job.
+/// JSON of one job.
 pub fn job(job: &Job) -> Value {
     let shape = job.shape.unwrap_or_default();
     let attempt = job.attempt.as_ref();
-    let workers: Vec<_> = attempt
+    let agent_names: Vec<_> = attempt
         .map(|attempt| {
             let agents = attempt.placements.iter().filter_map(|p| p.agent.as_ref());
             agents.map(|agent| agent.name.clone()).collect()
@@ -58,7 +58,7 @@
         "idempotent": job.idempotent,
         "attempt": attempt.map(|attempt| attempt.id.clone()),
         "guaranteed": attempt.is_some_and(|attempt| attempt.guaranteed),
-        "agents": workers,
+        "agents": agent_names,
         "attempts": job.attempts,
         "exit_code": job.exit_code,
         "submitted_unix_ms": job.submitted_unix_ms,
