--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -293,8 +293,8 @@
     ///
     /// Guards against a delayed lease message. The extension counts from when the answered
     /// heartbeat was sent, by this agent's own clock, so that a late message can't keep a task of a
-    /// stopped gang running. A lease never starts a member that was barred or whose reservation has
-    /// expired.
+    /// stopped gang running. A lease never starts a member that was invalidated or whose
+    /// reservation has expired.
     pub fn apply_lease(&mut self, now: Duration, attempt: &str, heartbeat: u64) -> TaskState {
         let lease = self.lease;
         let Some(member) = self.members.get_mut(attempt) else { return TaskState::TaskUnknown };
@@ -325,7 +325,8 @@
         self.members.get(attempt).map_or(TaskState::TaskUnknown, Member::state)
     }
 
-    /// Bars an attempt: it can't start any more and is stopped if it runs. Returns its state.
+    /// Invalidates an attempt: it can't start any more and is stopped if it runs. Returns its
+    /// state.
     ///
     /// An attempt that has not been seen leaves a tombstone, so that a hold or lease that is still
     /// on its way is refused when it arrives.
--- a/crates/agent/src/member.rs
+++ b/crates/agent/src/member.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Creates the record of an attempt that was barred before its hold arrived.
+    /// Creates the record of an attempt that was invalidated before its hold arrived.
     pub fn tombstone(forget_at: Duration) -> Self {
         let hold = sapphire_wire::Hold::default();
         let phase = Phase::Ended { end: End::NeverStarted, forget_at };
--- a/crates/agent/src/slots.rs
+++ b/crates/agent/src/slots.rs
@@ -21,8 +21,8 @@
 
 /// Largest number of ended attempts that are remembered; about 2 MB.
 ///
-/// They guard against a request that arrives twice, or after it was barred. Messages of one entry
-/// arrive in order over one connection, so only the most recent attempts can matter.
+/// They guard against a request that arrives twice, or after it was invalidated. Messages of one
+/// entry arrive in order over one connection, so only the most recent attempts can matter.
 const MAX_ENDED: usize = 16_384;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
     retention: Duration,
     is_draining: bool,
     live: BTreeMap<id::Attempt, State>,
-    /// Whether each ended attempt was barred before it ran.
+    /// Whether each ended attempt was invalidated before it ran.
     ended: BTreeMap<id::Attempt, bool>,
     removals: VecDeque<Ended>,
     queue: VecDeque<Request>,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Decides on a request. A refusal also bars the attempt, so that the answer "not run" stays
-    /// true even if the same message arrives once more.
+    /// Decides on a request. A refusal also invalidates the attempt, so that the answer "not run"
+    /// stays true even if the same message arrives once more.
     pub fn admit(&mut self, now: Duration, request: Request, caller: &Peer) -> Decision {
         match self.ended.get(&request.attempt) {
             Some(true) => return Decision::Refused("the attempt was barred".to_owned()),
@@ -110,16 +110,16 @@
         Some(caller)
     }
 
-    fn end(&mut self, now: Duration, attempt: &str, is_barred: bool) {
+    fn end(&mut self, now: Duration, attempt: &str, is_invalidated: bool) {
         self.live.remove(attempt);
-        if self.ended.insert(attempt.to_owned(), is_barred).is_none() {
+        if self.ended.insert(attempt.to_owned(), is_invalidated).is_none() {
             let forget_at = now + self.retention;
             self.removals.push_back(Ended { attempt: attempt.to_owned(), forget_at });
         }
     }
 
     /// Assigns a free slot to the next waiting request and returns it. A request whose deadline has
-    /// passed is barred instead.
+    /// passed is invalidated instead.
     pub fn next_request(&mut self, now: Duration) -> Option<Request> {
         while self.running < self.total {
             let mut request = self.queue.pop_front()?;
@@ -137,8 +137,8 @@
         None
     }
 
-    /// Bars an attempt, so that it can't run later, and returns its state. Has no effect on an
-    /// attempt that runs or has run.
+    /// Invalidates an attempt, so that it can't run later, and returns its state. Has no effect on
+    /// an attempt that runs or has run.
     pub fn invalidate(&mut self, now: Duration, attempt: &str) -> TaskState {
         if matches!(self.live.get(attempt), Some(State::Running { .. })) {
             return TaskState::TaskRunning;
--- a/crates/agent/tests/ledger/mod.rs
+++ b/crates/agent/tests/ledger/mod.rs
@@ -61,8 +61,8 @@
     assert_eq!(ledger.members()["j/1"].phase, Phase::Stopping);
 }
 
-/// The planner bars an attempt whose hold is still on its way. Since the caller is answered "not
-/// run", the hold is refused when it arrives, and so is a lease.
+/// The planner invalidates an attempt whose hold is still on its way. Since the caller is answered
+/// "not run", the hold is refused when it arrives, and so is a lease.
 #[test]
 fn a_hold_that_arrives_after_its_bar_is_refused() {
     let mut ledger = ledger();
--- a/crates/agent/tests/slots/mod.rs
+++ b/crates/agent/tests/slots/mod.rs
@@ -28,8 +28,8 @@
     assert_eq!(slots.invalidate(SECOND, "bill"), TaskState::TaskExited);
 }
 
-/// The entry bars a request that seems lost and answers "not run" to its caller; then the request
-/// arrives after all. It is refused.
+/// The entry invalidates a request that seems lost and answers "not run" to its caller; then the
+/// request arrives after all. It is refused.
 #[test]
 fn a_request_that_arrives_after_its_bar_is_refused() {
     let mut slots = Slots::new(1, SECOND * 60);
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -33,10 +33,12 @@
     pub retry_after: Option<Duration>,
 }
 
+/// A refusal that a retry can't change.
 fn permanent(reason: impl Into<String>) -> Error {
     Error { reason: reason.into(), retry_after: None }
 }
 
+/// A refusal after which a retry may succeed.
 fn temporary(reason: impl Into<String>) -> Error {
     Error { reason: reason.into(), retry_after: Some(RETRY_AFTER) }
 }
@@ -73,8 +75,8 @@
     let shape = job.shape.unwrap_or_default();
     if !options.fleet.could_hold(&shape) {
         let reason = "no set of workers here can ever hold this shape";
-        let knows_none = options.fleet.workers.is_empty();
-        return Err(if knows_none { temporary(reason) } else { permanent(reason) });
+        let has_no_workers = options.fleet.workers.is_empty();
+        return Err(if has_no_workers { temporary(reason) } else { permanent(reason) });
     }
     let quota = options.rules.quota(&job.organisation).unwrap_or(u32::MAX);
     let guaranteed = place::Options::guaranteed(&job.organisation, &shape);
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -110,8 +110,8 @@
         if states.iter().any(ran) {
             return Some(Outcome::Ran);
         }
-        let is_barred = states.iter().all(|state| *state == TaskState::TaskBarred);
-        if is_barred || !self.may_have_started {
+        let is_never_started = states.iter().all(|state| *state == TaskState::TaskBarred);
+        if is_never_started || !self.may_have_started {
             return Some(Outcome::NotRun);
         }
         Some(Outcome::Unknown)
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -369,7 +369,7 @@
         match body {
             frame::Body::Announce(announce) => self.handle_announcement(now, from, announce),
             frame::Body::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat),
-            frame::Body::EntryBeat(beat) => self.handle_entry_heartbeat(now, from, beat),
+            frame::Body::EntryBeat(heartbeat) => self.handle_entry_heartbeat(now, from, heartbeat),
             frame::Body::RulesPull(pull) => self.handle_rules_pull(from, pull),
             frame::Body::Rules(rules) => self.handle_rules(now, rules),
             frame::Body::JobCall(call) => self.handle_job_call(now, from, call),
@@ -459,9 +459,9 @@
         });
     }
 
-    fn handle_entry_heartbeat(&mut self, now: Duration, from: &Peer, beat: EntryBeat) {
-        let has_newer = beat.rules > self.rulebook.revision();
-        self.peers.record_heartbeat(now, from, beat);
+    fn handle_entry_heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: EntryBeat) {
+        let has_newer = heartbeat.rules > self.rulebook.revision();
+        self.peers.record_heartbeat(now, from, heartbeat);
         if has_newer {
             let above = self.rulebook.revision();
             self.send(from, frame::Body::RulesPull(RulesPull { above }));
@@ -530,7 +530,7 @@
     fn send_heartbeats(&mut self, now: Duration) {
         let mut entries: Vec<Peer> = self.peers.reachable(now).map(|e| e.peer.clone()).collect();
         entries.push(self.options.me.clone());
-        let beat = EntryBeat {
+        let heartbeat = EntryBeat {
             region: self.options.region.clone(),
             zone: self.options.zone.clone(),
             draining: self.draining_since.is_some(),
@@ -546,7 +546,7 @@
         self.heartbeats_sent = self.heartbeats_sent.wrapping_add(1);
         for other in others {
             let to = peer::new(&other.name, &other.address, 0);
-            self.send(&to, frame::Body::EntryBeat(beat.clone()));
+            self.send(&to, frame::Body::EntryBeat(heartbeat.clone()));
         }
     }
 
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -12,6 +12,7 @@
 use super::{Context, LOG_PART, Planner, cancel_reason};
 
 impl Planner {
+    /// Checks the timeouts of an attempt.
     pub(super) fn tick_attempt(
         &mut self,
         now: Duration,
@@ -59,8 +60,8 @@
         let coordinator =
             attempt.coordinator().and_then(|assignment| assignment.placement.agent.as_ref());
         coordinator.is_some_and(|coordinator| {
-            let known = context.registry.get(&coordinator.name);
-            known.is_some_and(|known| known.peer.generation > coordinator.generation)
+            let current = context.registry.get(&coordinator.name);
+            current.is_some_and(|current| current.peer.generation > coordinator.generation)
         })
     }
 
@@ -102,6 +103,7 @@
         self.finish_resolved(now, id, out);
     }
 
+    /// Requests the invalidation of an attempt at all agents whose final state is not known.
     pub(super) fn send_invalidations(&self, id: &str, out: &mut Output) {
         let Some(attempt) = self.attempts.get(id) else { return };
         for assignment in
@@ -128,6 +130,7 @@
         }
     }
 
+    /// Ends an attempt whose outcome is resolved: its job waits for another attempt or ends.
     pub(super) fn finish_resolved(&mut self, now: Duration, id: &str, out: &mut Output) {
         let Some(outcome) = self.attempts.get(id).and_then(Attempt::outcome) else { return };
         let Some(attempt) = self.attempts.remove(id) else { return };
@@ -152,6 +155,8 @@
         }
     }
 
+    /// Puts a job back to waiting. `counts_as_attempt` is false for an attempt that did not run or
+    /// was evicted.
     pub(super) fn requeue(
         &mut self,
         now: Duration,
--- a/crates/entry/src/planner/calls.rs
+++ b/crates/entry/src/planner/calls.rs
@@ -45,14 +45,14 @@
         mut job: Job,
         context: &Context<'_>,
     ) -> Option<JobReply> {
-        if let Some(known) = self.table.get(&job.id).cloned() {
-            let is_same = known.organisation == job.organisation
-                && known.shape == job.shape
-                && known.command == job.command;
+        if let Some(existing) = self.table.get(&job.id).cloned() {
+            let is_same = existing.organisation == job.organisation
+                && existing.shape == job.shape
+                && existing.command == job.command;
             if !is_same {
                 return Some(refused_reply("the idempotency key was used for another job", None));
             }
-            return self.table.when_stored(from, call, &known.id);
+            return self.table.when_stored(from, call, &existing.id);
         }
         if let Err(error) = self.admit(&job, context, now) {
             return Some(refused_reply(&error.reason, error.retry_after));
@@ -101,6 +101,7 @@
         JobReply { jobs, ..JobReply::default() }
     }
 
+    /// Cancels a job. The reply is sent once the change has been stored.
     pub(super) fn cancel(
         &mut self,
         now: Duration,
@@ -129,6 +130,7 @@
         self.table.when_stored(from, call, id)
     }
 
+    /// Puts a job into a final state.
     pub(super) fn end_job(
         &mut self,
         now: Duration,
--- a/crates/entry/src/planner/reports.rs
+++ b/crates/entry/src/planner/reports.rs
@@ -114,6 +114,7 @@
         self.end_job(now, id, JobState::JobDone, "", out);
     }
 
+    /// Allows a coordinator to forget an attempt once its job has been stored.
     pub(super) fn acknowledge(&self, from: &Peer, attempt: &str, out: &mut Output) {
         let job = attempt.split('/').next().unwrap_or_default();
         if self.table.is_stored(job) {
@@ -139,6 +140,7 @@
         }
     }
 
+    /// Handles the end of a gang that did not complete.
     pub(super) fn handle_gang_failure(
         &mut self,
         now: Duration,
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -63,6 +63,7 @@
         self.backoff.quarantined(now)
     }
 
+    /// Records which worker failed a task, and quarantines it if every task fails there.
     pub(super) fn record_task_failure(
         &mut self,
         now: Duration,
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -63,8 +63,8 @@
     /// counted.
     pub fn update_free_places(&mut self, free: u32) {
         self.load.free_slots = free;
-        let taken = self.total_places().saturating_sub(free);
-        self.used_by_others = taken.saturating_sub(self.in_flight);
+        let used = self.total_places().saturating_sub(free);
+        self.used_by_others = used.saturating_sub(self.in_flight);
     }
 }
 
@@ -113,12 +113,12 @@
 
     /// Records an announcement. Returns whether the agent, or this process of it, is new.
     pub fn announce(&mut self, now: Duration, from: &Peer, announce: Announce) -> bool {
-        let known = self.agents.get(&from.name);
-        if known.is_some_and(|agent| agent.peer.generation > from.generation) {
+        let previous = self.agents.get(&from.name);
+        if previous.is_some_and(|agent| agent.peer.generation > from.generation) {
             return false;
         }
-        let is_new = known.is_none_or(|agent| !peer::is_same_life(&agent.peer, from));
-        let in_flight = known.filter(|_| !is_new).map_or(0, |agent| agent.in_flight);
+        let is_new = previous.is_none_or(|agent| !peer::is_same_life(&agent.peer, from));
+        let in_flight = previous.filter(|_| !is_new).map_or(0, |agent| agent.in_flight);
         let agent = Agent {
             peer: from.clone(),
             region: announce.region,
@@ -204,8 +204,8 @@
 
     /// Agent that manages a worker.
     pub fn agent_of_worker(&self, worker: &str) -> Option<&Agent> {
-        let guards = |agent: &&Agent| agent.worker.as_ref().is_some_and(|w| w.name == worker);
-        self.agents.values().find(guards)
+        let manages = |agent: &&Agent| agent.worker.as_ref().is_some_and(|w| w.name == worker);
+        self.agents.values().find(manages)
     }
 
     /// Workers of a region, with no accelerators bound and no resources in use. `is_drained`
--- a/crates/entry/src/requests.rs
+++ b/crates/entry/src/requests.rs
@@ -95,13 +95,13 @@
         rng: &mut Pcg64,
         out: &mut Output,
     ) {
-        let serves = |agent: &registry::Agent| {
+        let offers_service = |agent: &registry::Agent| {
             agent.minion.as_ref().is_some_and(|minion| minion.service == call.name)
         };
         let slots: u32 = registry
             .agents()
             .values()
-            .filter(|agent| serves(agent))
+            .filter(|agent| offers_service(agent))
             .filter_map(|agent| agent.minion.as_ref().map(|minion| minion.slots))
             .sum();
         if slots == 0 {
@@ -133,19 +133,19 @@
         pending: &Pending,
         registry: &registry::Registry,
     ) -> Vec<Candidate> {
-        let serves = |agent: &&registry::Agent| {
+        let offers_service = |agent: &&registry::Agent| {
             agent.minion.as_ref().is_some_and(|minion| minion.service == pending.call.name)
         };
         let is_open = |agent: &&registry::Agent| {
             registry.is_reachable(now, agent) && !agent.load.draining && agent.free_places() > 0
         };
         let open: Vec<&registry::Agent> =
-            registry.agents().values().filter(serves).filter(is_open).collect();
+            registry.agents().values().filter(offers_service).filter(is_open).collect();
         let is_other = |agent: &&&registry::Agent| !pending.refused_by.contains(&agent.peer.name);
         let others: Vec<&registry::Agent> = open.iter().filter(is_other).copied().collect();
         // An agent that refused the request is tried again only when no other is open.
-        let wanted = if others.is_empty() { open } else { others };
-        wanted.into_iter().map(|agent| self.candidate(agent)).collect()
+        let preferred = if others.is_empty() { open } else { others };
+        preferred.into_iter().map(|agent| self.candidate(agent)).collect()
     }
 
     fn candidate(&self, agent: &registry::Agent) -> Candidate {
@@ -456,6 +456,6 @@
 fn complete_answer(answer: Answer) -> answer::Answer {
     let status = u16::try_from(answer.status).unwrap_or(502);
     let headers = answer.headers.into_iter().filter(|header| api::is_end_to_end(&header.name));
-    let whole = answer::Answer { status, headers: headers.collect(), body: answer.body };
-    whole.with(answer::ACCOUNT, Account::Done.to_string())
+    let complete = answer::Answer { status, headers: headers.collect(), body: answer.body };
+    complete.with(answer::ACCOUNT, Account::Done.to_string())
 }
