--- a/crates/agent/src/contact.rs
+++ b/crates/agent/src/contact.rs
@@ -72,11 +72,12 @@
     }
 
     /// Removes entries that have been silent for a long time, unless the settings name them.
-    pub fn forget_silent(&mut self, now: Duration, silence: Duration) {
+    pub fn forget_silent(&mut self, now: Duration, silence_timeout: Duration) {
         let seeds = &self.seeds;
         self.known.retain(|address, contact| {
             seeds.contains(address)
-                || now.saturating_sub(contact.last_contact) <= silence * FORGET_AFTER_TIMEOUTS
+                || now.saturating_sub(contact.last_contact)
+                    <= silence_timeout * FORGET_AFTER_TIMEOUTS
         });
     }
 }
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -47,9 +47,9 @@
         let machine = Machine {
             contacts: contact::Contacts::new(now, &options.entries),
             planner: planner::Tracker::default(),
-            ledger: ledger::Ledger::new(capacity, options.member_lease(), options.memory),
+            ledger: ledger::Ledger::new(capacity, options.member_lease(), options.ended_retention),
             gangs: BTreeMap::new(),
-            slots: slots::Slots::new(slots, options.memory),
+            slots: slots::Slots::new(slots, options.ended_retention),
             applied: Applied::default(),
             reported_load: Load::default(),
             is_ready: options.worker.is_none(),
@@ -107,12 +107,12 @@
     }
 
     fn send(&mut self, to: &Peer, body: frame::Body) {
-        if to.name == self.options.me.name {
+        if to.name == self.options.identity.name {
             self.local_messages.push(body);
             return;
         }
         let envelope = envelope::Envelope {
-            from: self.options.me.clone(),
+            from: self.options.identity.clone(),
             to_generation: to.generation,
             body,
         };
@@ -136,8 +136,8 @@
                 self.apply_change(now, change);
             }
             for body in local_messages {
-                let me = self.options.me.clone();
-                self.handle_message(now, &me, body);
+                let identity = self.options.identity.clone();
+                self.handle_message(now, &identity, body);
             }
         }
     }
@@ -229,7 +229,7 @@
     /// Handles a message. A message to an earlier process of this agent is dropped, since its
     /// sender relies on what that process knew.
     fn handle_envelope(&mut self, now: Duration, envelope: envelope::Envelope) {
-        let mine = self.options.me.generation;
+        let mine = self.options.identity.generation;
         if envelope.to_generation != 0 && envelope.to_generation != mine {
             return;
         }
@@ -489,7 +489,7 @@
         if self.is_ready {
             self.heartbeat();
         }
-        self.contacts.forget_silent(now, self.options.silence);
+        self.contacts.forget_silent(now, self.options.silence_timeout);
         if self.is_draining && self.is_idle() {
             self.effects.push(Effect::Exit);
         }
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Name, address and generation of this process.
-    pub me: Peer,
+    pub identity: Peer,
     /// Region in which it runs.
     pub region: String,
     /// Availability zone in which it runs.
@@ -23,11 +23,11 @@
     /// planner.
     pub heartbeat: Duration,
     /// Time without a message after which a process is suspected of having failed.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Lease of a running gang: longest time for which it may run with some of its tasks lost.
     pub lease: Duration,
     /// How long ended attempts are remembered, so that delayed messages can't start them again.
-    pub memory: Duration,
+    pub ended_retention: Duration,
 }
 
 impl Options {
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -72,13 +72,19 @@
 impl Machine {
     /// Starts an entry.
     pub fn new(options: options::Options) -> Self {
-        let me = &options.me;
-        let holder_value = format!("{} {} {:x}", me.name, me.address, me.generation);
+        let identity = &options.identity;
+        let holder_value =
+            format!("{} {} {:x}", identity.name, identity.address, identity.generation);
         let key = format!("planner/{}", options.region);
         Machine {
             rng: Pcg64::seed_from_u64(options.seed),
-            registry: registry::Registry::new(options.silence, &options.region),
-            peers: peers::Peers::new(me, &options.region, &options.peers, options.silence),
+            registry: registry::Registry::new(options.silence_timeout, &options.region),
+            peers: peers::Peers::new(
+                identity,
+                &options.region,
+                &options.peers,
+                options.silence_timeout,
+            ),
             rulebook: rulebook::Rulebook::default(),
             requests: requests::Requests::new(&options),
             job_calls: job_calls::JobCalls::default(),
@@ -126,7 +132,7 @@
         let gap = now.saturating_sub(self.last_run);
         let is_first = self.last_run.is_zero();
         self.last_run = now;
-        if is_first || gap < self.options.silence {
+        if is_first || gap < self.options.silence_timeout {
             return;
         }
         self.log(LOG_MEMBER, format!("was paused for={gap:?}"));
@@ -156,7 +162,7 @@
 
     fn send(&mut self, to: &Peer, body: frame::Body) {
         let envelope = envelope::Envelope {
-            from: self.options.me.clone(),
+            from: self.options.identity.clone(),
             to_generation: to.generation,
             body,
         };
@@ -171,9 +177,9 @@
             self.effects.push(Effect::Answer(caller, answer));
         }
         for (to, body) in out.sends {
-            if to.name == self.options.me.name {
-                let me = self.options.me.clone();
-                self.handle_message(now, &me, body);
+            if to.name == self.options.identity.name {
+                let identity = self.options.identity.clone();
+                self.handle_message(now, &identity, body);
             } else {
                 self.send(&to, body);
             }
@@ -291,7 +297,7 @@
 
     fn take_over(&mut self, now: Duration, term: u64, value: &Value) {
         self.takeovers += 1;
-        let epoch = Epoch { term, holder: self.options.me.name.clone() };
+        let epoch = Epoch { term, holder: self.options.identity.name.clone() };
         let planner = planner::Planner::new(now, &self.options, epoch, self.takeovers, value);
         self.log(
             LOG_MEMBER,
@@ -358,7 +364,7 @@
     }
 
     fn handle_envelope(&mut self, now: Duration, envelope: envelope::Envelope) {
-        let mine = self.options.me.generation;
+        let mine = self.options.identity.generation;
         if envelope.to_generation != 0 && envelope.to_generation != mine {
             return;
         }
@@ -441,7 +447,7 @@
 
     fn welcome(&mut self, now: Duration, from: &Peer, announce_again: bool) {
         let mut entries: Vec<Peer> = self.peers.reachable(now).map(|e| e.peer.clone()).collect();
-        entries.push(self.options.me.clone());
+        entries.push(self.options.identity.clone());
         let agent = self.registry.get(&from.name);
         let is_own_cell = agent.is_some_and(|agent| agent.region == self.options.region);
         let epoch = self.verified_planner().filter(|_| is_own_cell).map(|p| p.epoch().clone());
@@ -515,7 +521,7 @@
 
     fn tick_job_calls(&mut self, now: Duration) {
         let mut out = Output::default();
-        let own = self.verified_planner().map(|_| self.options.me.clone());
+        let own = self.verified_planner().map(|_| self.options.identity.clone());
         let region = self.options.region.clone();
         let peers = &self.peers;
         let planner = |of: &str| {
@@ -529,7 +535,7 @@
     /// Sends a heartbeat to the other entries.
     fn send_heartbeats(&mut self, now: Duration) {
         let mut entries: Vec<Peer> = self.peers.reachable(now).map(|e| e.peer.clone()).collect();
-        entries.push(self.options.me.clone());
+        entries.push(self.options.identity.clone());
         let heartbeat = EntryBeat {
             region: self.options.region.clone(),
             zone: self.options.zone.clone(),
@@ -567,13 +573,13 @@
     /// balancer has had time to notice that this entry is not ready.
     fn tick_drain(&mut self, now: Duration) {
         let Some(since) = self.draining_since else { return };
-        let has_lingered = now.saturating_sub(since) >= self.options.silence;
+        let has_lingered = now.saturating_sub(since) >= self.options.silence_timeout;
         let is_idle = self.requests.is_empty() && self.job_calls.is_empty();
         if has_lingered && is_idle {
             self.effects.push(Effect::Exit);
             return;
         }
-        let is_overdue = now.saturating_sub(since) >= self.options.shutdown;
+        let is_overdue = now.saturating_sub(since) >= self.options.shutdown_timeout;
         if is_overdue && !self.has_reported_overdue {
             self.has_reported_overdue = true;
             let (requests, calls) = (self.requests.len(), self.job_calls.len());
@@ -690,8 +696,8 @@
             self.answer(caller, answer);
             return;
         }
-        let me = &self.options.me;
-        let prefix = format!("{}-{:x}", me.name, me.generation);
+        let identity = &self.options.identity;
+        let prefix = format!("{}-{:x}", identity.name, identity.generation);
         match self.rulebook.apply(now, caller, apply, &prefix) {
             Ok(call) => self.call_store(now, Purpose::WriteRules, call),
             Err(answer) => self.answer(caller, answer),
--- a/crates/entry/src/options.rs
+++ b/crates/entry/src/options.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Name, address and generation of this process.
-    pub me: Peer,
+    pub identity: Peer,
     /// Region in which it runs, and whose cell it may plan.
     pub region: String,
     /// Availability zone in which it runs.
@@ -18,15 +18,15 @@
     /// Interval of heartbeats.
     pub heartbeat: Duration,
     /// Time without a message after which a process is suspected of having failed.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Lease of a running gang, and of the planner key in the store.
     pub lease: Duration,
     /// How long a reservation waits for the decision to start.
-    pub hold: Duration,
+    pub hold_timeout: Duration,
     /// Deadline of a request for which the caller set none.
-    pub request: Duration,
+    pub request_timeout: Duration,
     /// Longest time that a graceful shutdown should take.
-    pub shutdown: Duration,
+    pub shutdown_timeout: Duration,
     /// Maximum number of callers' requests in flight.
     pub max_requests: usize,
     /// Maximum number of jobs in the cell that have not ended.
--- a/crates/entry/src/overview.rs
+++ b/crates/entry/src/overview.rs
@@ -129,7 +129,7 @@
         let mut add = |revision: u64, name: &str| {
             by_revision.entry(revision).or_default().push(name.to_owned());
         };
-        add(self.rulebook.revision(), &self.options.me.name);
+        add(self.rulebook.revision(), &self.options.identity.name);
         for entry in self.peers.reachable(self.now) {
             add(entry.heartbeat.rules, &entry.peer.name);
         }
@@ -156,7 +156,7 @@
 
     fn planner_name(&self) -> Option<String> {
         if self.planner.is_some() {
-            return Some(self.options.me.name.clone());
+            return Some(self.options.identity.name.clone());
         }
         self.peers.planner(self.now, &self.options.region).map(|(peer, _)| peer.name.clone())
     }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -28,19 +28,30 @@
 /// Other entries by address.
 #[derive(Debug)]
 pub struct Peers {
-    me: Peer,
+    identity: Peer,
     region: String,
     seeds: Vec<id::Address>,
-    silence: Duration,
+    silence_timeout: Duration,
     known: BTreeMap<id::Address, Entry>,
 }
 
 impl Peers {
     /// Creates the list from the entries named in the settings.
-    pub fn new(me: &Peer, region: &str, seeds: &[id::Address], silence: Duration) -> Self {
+    pub fn new(
+        identity: &Peer,
+        region: &str,
+        seeds: &[id::Address],
+        silence_timeout: Duration,
+    ) -> Self {
         let known = BTreeMap::new();
         let region = region.to_owned();
-        let mut peers = Peers { me: me.clone(), region, seeds: seeds.to_vec(), silence, known };
+        let mut peers = Peers {
+            identity: identity.clone(),
+            region,
+            seeds: seeds.to_vec(),
+            silence_timeout,
+            known,
+        };
         for address in seeds {
             peers.add(Duration::ZERO, &peer::new("", address, 0));
         }
@@ -48,7 +59,7 @@
     }
 
     fn add(&mut self, now: Duration, peer: &Peer) {
-        if peer.address != self.me.address {
+        if peer.address != self.identity.address {
             let entry = Entry { peer: peer.clone(), added: now, ..Entry::default() };
             self.known.entry(peer.address.clone()).or_insert(entry);
         }
@@ -65,7 +76,7 @@
 
     fn is_reachable(&self, now: Duration, entry: &Entry) -> bool {
         let factor = if self.is_remote(entry) { REMOTE_HEARTBEAT_INTERVAL } else { 1 };
-        let timeout = self.silence * factor;
+        let timeout = self.silence_timeout * factor;
         entry.last_contact.is_some_and(|last_contact| now.saturating_sub(last_contact) <= timeout)
     }
 
@@ -98,7 +109,7 @@
 
     /// Removes entries that have been silent for a long time, unless the settings name them.
     pub fn forget_silent(&mut self, now: Duration) {
-        let limit = self.silence * FORGET_AFTER_TIMEOUTS;
+        let limit = self.silence_timeout * FORGET_AFTER_TIMEOUTS;
         let seeds = &self.seeds;
         self.known.retain(|address, entry| {
             let last = entry.last_contact.unwrap_or(entry.added);
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -21,7 +21,7 @@
         out: &mut Output,
     ) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        let timeout = self.options.lease + self.options.silence;
+        let timeout = self.options.lease + self.options.silence_timeout;
         let is_overdue = |since: Duration| now.saturating_sub(since) > timeout;
         if attempt.awaits_coordinator() && self.has_coordinator_restarted(attempt, context) {
             self.resolve(id, "the lead has restarted", out);
--- a/crates/entry/src/planner/mod.rs
+++ b/crates/entry/src/planner/mod.rs
@@ -89,7 +89,8 @@
         cell: &Value,
     ) -> Self {
         let stored = Cell::decode(cell.bytes.clone()).unwrap_or_default();
-        let prefix = format!("{}-{:x}-{takeover}", options.me.name, options.me.generation);
+        let prefix =
+            format!("{}-{:x}-{takeover}", options.identity.name, options.identity.generation);
         let mut planner = Planner {
             options: options.clone(),
             epoch,
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -153,7 +153,7 @@
         let attempt = Attempt {
             job: job.id.clone(),
             is_guaranteed,
-            phase: Phase::Holding { until: now + self.options.hold },
+            phase: Phase::Holding { until: now + self.options.hold_timeout },
             assignments,
             change: self.table.latest_change(),
             may_have_started: false,
@@ -179,7 +179,7 @@
                 tasks: assignment.placement.tasks,
                 guaranteed: attempt.is_guaranteed,
                 lead: coordinator.clone(),
-                ttl_ms: millis(self.options.hold),
+                ttl_ms: millis(self.options.hold_timeout),
                 command: job.command.clone(),
             };
             out.send(agent, frame::Body::Hold(hold));
@@ -195,7 +195,7 @@
         context: &Context<'_>,
         out: &mut Output,
     ) {
-        let hold = self.options.hold;
+        let hold = self.options.hold_timeout;
         let Some(attempt) = self.attempts.get_mut(&reply.attempt) else { return };
         let Phase::Holding { until } = attempt.phase else { return };
         let Some(assignment) = attempt.assignments.get_mut(&from.name) else { return };
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -71,7 +71,7 @@
 /// Agents by name.
 #[derive(Debug)]
 pub struct Registry {
-    silence: Duration,
+    silence_timeout: Duration,
     region: String,
     started: Option<Duration>,
     agents: BTreeMap<id::Process, Agent>,
@@ -79,8 +79,13 @@
 
 impl Registry {
     /// Creates an empty registry.
-    pub fn new(silence: Duration, region: &str) -> Self {
-        Registry { silence, region: region.to_owned(), started: None, agents: BTreeMap::new() }
+    pub fn new(silence_timeout: Duration, region: &str) -> Self {
+        Registry {
+            silence_timeout,
+            region: region.to_owned(),
+            started: None,
+            agents: BTreeMap::new(),
+        }
     }
 
     /// Records the time of the first event.
@@ -98,16 +103,16 @@
 
     /// Whether every running agent has had time to announce itself.
     pub fn is_warmed_up(&self, now: Duration) -> bool {
-        self.started.is_some_and(|started| now.saturating_sub(started) >= self.silence)
+        self.started.is_some_and(|started| now.saturating_sub(started) >= self.silence_timeout)
     }
 
     /// Silence after which an agent is suspected of having failed; longer for other regions, whose
     /// agents send less often.
     fn timeout(&self, agent: &Agent) -> Duration {
         if agent.region == self.region {
-            self.silence
+            self.silence_timeout
         } else {
-            self.silence * REMOTE_TIMEOUT_FACTOR
+            self.silence_timeout * REMOTE_TIMEOUT_FACTOR
         }
     }
 
--- a/crates/entry/src/requests.rs
+++ b/crates/entry/src/requests.rs
@@ -81,8 +81,8 @@
 
     fn next_attempt(&mut self) -> id::Attempt {
         self.count += 1;
-        let me = &self.options.me;
-        format!("{}-{:x}-{}", me.name, me.generation, self.count)
+        let identity = &self.options.identity;
+        format!("{}-{:x}-{}", identity.name, identity.generation, self.count)
     }
 
     /// Accepts a caller's request: sends it to a minion, queues it for a slot, or sheds it at once.
@@ -115,7 +115,7 @@
             return;
         }
         self.budget.earn();
-        let deadline = now + call.deadline.unwrap_or(self.options.request);
+        let deadline = now + call.deadline.unwrap_or(self.options.request_timeout);
         let attempt = self.next_attempt();
         let until = deadline.min(now + QUEUE_WAIT);
         let stage = Stage::Queued { until };
@@ -390,7 +390,7 @@
         registry: &mut registry::Registry,
         out: &mut Output,
     ) {
-        let silence = self.options.silence;
+        let silence_timeout = self.options.silence_timeout;
         let Some(pending) = self.pending.get_mut(attempt) else { return };
         match &mut pending.stage {
             Stage::Queued { until } if now >= *until => {
@@ -402,14 +402,14 @@
                 let reason = format!("{} was lost", agent.name);
                 self.agent_lost(now, attempt, &reason, registry, out);
             }
-            Stage::Sent { .. } if now >= pending.deadline + silence => {
+            Stage::Sent { .. } if now >= pending.deadline + silence_timeout => {
                 let reason = "no answer came before the deadline";
                 let answer = answer::Answer::failure(504, Account::Unknown, reason);
                 self.finish(attempt, answer, registry, out);
             }
             Stage::Sent { agent, sent_at, last_probe } => {
                 let last = last_probe.unwrap_or(*sent_at);
-                if now.saturating_sub(last) >= silence {
+                if now.saturating_sub(last) >= silence_timeout {
                     *last_probe = Some(now);
                     let bar = Bar { attempt: attempt.to_owned(), epoch: None };
                     out.send(agent, frame::Body::Bar(bar));
--- a/crates/proofs/src/world/processes.rs
+++ b/crates/proofs/src/world/processes.rs
@@ -51,16 +51,16 @@
         let Some(process) = self.entries.get_mut(name) else { return };
         process.generation = generation(now, process.generation);
         let options = entry::options::Options {
-            me: peer::new(name, name, process.generation),
+            identity: peer::new(name, name, process.generation),
             region: process.place.region.clone(),
             zone: process.place.zone.clone(),
             peers,
             heartbeat: HEARTBEAT,
-            silence: SILENCE,
+            silence_timeout: SILENCE,
             lease: LEASE,
-            hold: HOLD,
-            request: Duration::from_secs(10),
-            shutdown: Duration::from_secs(30),
+            hold_timeout: HOLD,
+            request_timeout: Duration::from_secs(10),
+            shutdown_timeout: Duration::from_secs(30),
             max_requests: 1_000,
             max_jobs: 2_000,
             seed: process.generation,
@@ -89,16 +89,16 @@
         let minion =
             Minion { name: format!("m{number}"), service: "review".into(), slots: 8, waiting: 8 };
         let options = agent::options::Options {
-            me: peer::new(name, name, process.generation),
+            identity: peer::new(name, name, process.generation),
             region: process.place.region.clone(),
             zone: process.place.zone.clone(),
             worker: Some(worker),
             minion: Some(minion),
             entries,
             heartbeat: HEARTBEAT,
-            silence: SILENCE,
+            silence_timeout: SILENCE,
             lease: LEASE,
-            memory: Duration::from_secs(600),
+            ended_retention: Duration::from_secs(600),
         };
         let (machine, first) = agent::machine::Machine::new(now, options);
         process.machine = Some(machine);
--- a/crates/sapphired/src/agent_role.rs
+++ b/crates/sapphired/src/agent_role.rs
@@ -149,15 +149,15 @@
         waiting: own.slots,
     });
     options::Options {
-        me: peer::new(&settings.name, &settings.address, clock.generation()),
+        identity: peer::new(&settings.name, &settings.address, clock.generation()),
         region: settings.region.clone(),
         zone: settings.zone.clone(),
         worker,
         minion,
         entries: settings.entries.clone(),
         heartbeat: millis(timing.heartbeat_ms),
-        silence: millis(timing.silence_ms),
+        silence_timeout: millis(timing.silence_ms),
         lease: millis(timing.lease_ms),
-        memory: MEMORY,
+        ended_retention: MEMORY,
     }
 }
--- a/crates/sapphired/src/entry_role.rs
+++ b/crates/sapphired/src/entry_role.rs
@@ -112,16 +112,16 @@
     let millis = Duration::from_millis;
     let generation = clock.generation();
     options::Options {
-        me: peer::new(&settings.name, &settings.address, generation),
+        identity: peer::new(&settings.name, &settings.address, generation),
         region: settings.region.clone(),
         zone: settings.zone.clone(),
         peers: settings.peers.clone(),
         heartbeat: millis(timing.heartbeat_ms),
-        silence: millis(timing.silence_ms),
+        silence_timeout: millis(timing.silence_ms),
         lease: millis(timing.lease_ms),
-        hold: millis(timing.hold_ms),
-        request: millis(timing.request_ms),
-        shutdown: millis(timing.shutdown_ms),
+        hold_timeout: millis(timing.hold_ms),
+        request_timeout: millis(timing.request_ms),
+        shutdown_timeout: millis(timing.shutdown_ms),
         max_requests: limits.requests as usize,
         max_jobs: limits.jobs as usize,
         seed: generation,
