--- a/crates/agent/src/effect.rs
+++ b/crates/agent/src/effect.rs
@@ -72,12 +72,12 @@
     /// Attempt that this result belongs to.
     pub attempt: id::Attempt,
     /// Complete HTTP answer, or why there is none.
-    pub answer: Result<Whole, Failure>,
+    pub result: Result<Answer, Failure>,
 }
 
 /// A complete HTTP answer of the minion.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct Answer {
     /// HTTP status.
     pub status: u32,
     /// Headers sent by the minion.
@@ -91,7 +91,7 @@
 pub struct Failure {
     /// Whether the request certainly did not reach the minion, for example because the connection
     /// was refused.
-    pub is_unseen: bool,
+    pub is_undelivered: bool,
     /// Reason as text.
     pub reason: String,
 }
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -447,17 +447,21 @@
     fn minion_answered(&mut self, now: Duration, response: effect::Response) {
         let Some(caller) = self.slots.release(now, &response.attempt) else { return };
         let mut answer = Answer { attempt: response.attempt, ..Answer::default() };
-        match response.answer {
-            Ok(whole) => {
+        match response.result {
+            Ok(complete) => {
                 answer.set_state(AnswerState::AnswerWhole);
-                answer.status = whole.status;
-                answer.headers = whole.headers;
-                answer.body = whole.body;
+                answer.status = complete.status;
+                answer.headers = complete.headers;
+                answer.body = complete.body;
             }
             Err(failure) => {
-                let unseen = failure.is_unseen;
+                let is_undelivered = failure.is_undelivered;
                 let interrupted = AnswerState::AnswerInterrupted;
-                answer.set_state(if unseen { AnswerState::AnswerNotRun } else { interrupted });
+                answer.set_state(if is_undelivered {
+                    AnswerState::AnswerNotRun
+                } else {
+                    interrupted
+                });
                 answer.reason = failure.reason;
             }
         }
--- a/crates/proofs/src/world/steps.rs
+++ b/crates/proofs/src/world/steps.rs
@@ -228,8 +228,8 @@
         let body = String::from_utf8_lossy(&call.body).into_owned();
         *guarded.served.entry(body).or_default() += 1;
         let whole =
-            agent::effect::Whole { status: 200, headers: Vec::new(), body: call.body.clone() };
-        let response = agent::effect::Response { attempt: call.attempt.clone(), answer: Ok(whole) };
+            agent::effect::Answer { status: 200, headers: Vec::new(), body: call.body.clone() };
+        let response = agent::effect::Response { attempt: call.attempt.clone(), result: Ok(whole) };
         guarded.pending.push((at, response));
     }
 }
--- a/crates/sapphired/src/minion.rs
+++ b/crates/sapphired/src/minion.rs
@@ -40,8 +40,8 @@
             runtime::spawn("minion", move || {
                 for call in queue {
                     let attempt = call.attempt.clone();
-                    let answer = caller.ask(call);
-                    let response = effect::Response { attempt, answer };
+                    let result = caller.ask(call);
+                    let response = effect::Response { attempt, result };
                     if events.send(event::Event::MinionAnswered(response)).is_err() {
                         return;
                     }
@@ -63,9 +63,9 @@
 }
 
 impl Caller {
-    fn ask(&self, call: effect::Call) -> Result<effect::Whole, effect::Failure> {
+    fn ask(&self, call: effect::Call) -> Result<effect::Answer, effect::Failure> {
         let is_rejected = |error: &dyn std::fmt::Display| effect::Failure {
-            is_unseen: true,
+            is_undelivered: true,
             reason: format!("the request can't be passed on: {error}"),
         };
         let mut builder = ureq::http::Request::builder()
@@ -85,21 +85,21 @@
         let headers = headers.collect();
         let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec();
         let body = Bytes::from(body.map_err(|error| failure_after(&error))?);
-        Ok(effect::Whole { status, headers, body })
+        Ok(effect::Answer { status, headers, body })
     }
 }
 
 /// The minion has not seen a request whose connection was refused; of any other failure it is
 /// not known.
 fn failure(error: &ureq::Error) -> effect::Failure {
-    let is_unseen = match error {
+    let is_undelivered = match error {
         ureq::Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound | ureq::Error::BadUri(_) => true,
         _ => false,
     };
-    effect::Failure { is_unseen, reason: format!("the minion: {error}") }
+    effect::Failure { is_undelivered, reason: format!("the minion: {error}") }
 }
 
 fn failure_after(error: &ureq::Error) -> effect::Failure {
-    effect::Failure { is_unseen: false, reason: format!("the minion's answer: {error}") }
+    effect::Failure { is_undelivered: false, reason: format!("the minion's answer: {error}") }
 }
