--- a/crates/agent/src/effect.rs
+++ b/crates/agent/src/effect.rs
@@ -27,7 +27,7 @@
     /// Stop running tasks.
     StopTasks(id::Attempt),
     /// Forward a request to the minion.
-    AskMinion(Call),
+    CallMinion(Call),
     /// Write a log line.
     Log(String),
     /// All work is done; the process may exit.
@@ -63,7 +63,7 @@
     /// Body sent by the caller.
     pub body: Bytes,
     /// Time left until the caller's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Result of a request to the minion.
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -439,9 +439,9 @@
             path: request.path,
             headers: request.headers,
             body: request.body,
-            left: Duration::from_millis(request.left_ms),
+            time_left: Duration::from_millis(request.left_ms),
         };
-        self.effects.push(Effect::AskMinion(call));
+        self.effects.push(Effect::CallMinion(call));
     }
 
     fn minion_answered(&mut self, now: Duration, response: effect::Response) {
--- a/crates/proofs/src/world/steps.rs
+++ b/crates/proofs/src/world/steps.rs
@@ -210,7 +210,7 @@
                     self.agent_event(name, Event::TaskEnded(end));
                 }
             }
-            Effect::AskMinion(call) => self.ask_minion(name, &call),
+            Effect::CallMinion(call) => self.ask_minion(name, &call),
             Effect::Log(text) => self.tell(&format!("{name} agent: {text}")),
             Effect::Exit => {
                 self.tell(&format!("{name} exits"));
--- a/crates/sapphired/src/agent_role.rs
+++ b/crates/sapphired/src/agent_role.rs
@@ -76,7 +76,7 @@
                 self.call_worker(worker::Call::Checkpoint(attempt));
             }
             Effect::StopTasks(attempt) => self.call_worker(worker::Call::Stop(attempt)),
-            Effect::AskMinion(call) => {
+            Effect::CallMinion(call) => {
                 if let Some(minion) = &self.minion {
                     minion.call(call);
                 }
--- a/crates/sapphired/src/minion.rs
+++ b/crates/sapphired/src/minion.rs
@@ -75,7 +75,8 @@
             builder = builder.header(header.name.as_str(), header.value.as_str());
         }
         let request = builder.body(call.body.to_vec()).map_err(|error| is_rejected(&error))?;
-        let request = self.agent.configure_request(request).timeout_global(Some(call.left)).build();
+        let request =
+            self.agent.configure_request(request).timeout_global(Some(call.time_left)).build();
         let mut response = self.agent.run(request).map_err(|error| failure(&error))?;
         let status = u32::from(response.status().as_u16());
         let headers = response.headers().iter().map(|(name, value)| Header {
