--- a/crates/agent/src/gang.rs
+++ b/crates/agent/src/gang.rs
@@ -103,6 +103,7 @@
         vec![Message::Lease(from.clone(), heartbeat.sequence)]
     }
 
+    /// Records why the gang is being stopped, unless a cause is known already.
     fn record_cause(&mut self, from: &Peer, heartbeat: &Beat, state: TaskState) {
         if self.cause.is_some() {
             return;
@@ -141,6 +142,7 @@
         self.members.values().map(|status| Message::Evict(status.peer.clone())).collect()
     }
 
+    /// Stop messages to all members that have not ended.
     fn stop_live(&self) -> Vec<Message> {
         let reason = self.cause.as_ref().map(|cause| cause.reason.clone()).unwrap_or_default();
         let live = self.members.values().filter(|status| !is_final(status.state));
@@ -209,6 +211,7 @@
     }
 }
 
+/// Whether a task in this state no longer runs and can't be started.
 fn is_final(state: TaskState) -> bool {
     !matches!(state, TaskState::TaskHeld | TaskState::TaskRunning)
 }
--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -115,11 +115,13 @@
         borrowers.map(|member| member.need.accelerators).sum()
     }
 
+    /// Resources that waiting holds need.
     fn claimed(&self) -> resource::Amount {
         let waiting = self.members.values().filter(|m| matches!(m.phase, Phase::Waiting { .. }));
         waiting.fold(resource::Amount::default(), |sum, member| sum.plus(&member.need))
     }
 
+    /// Accelerators that an organisation's guaranteed gangs use or wait for on this worker.
     fn guaranteed_in_use(&self, organisation: &str) -> u32 {
         let own = self.members.values().filter(|member| {
             member.is_guaranteed && !member.is_ended() && member.organisation == organisation
@@ -156,6 +158,7 @@
         }
     }
 
+    /// Reply to a hold that was received before.
     fn reply_to_repeated(member: &Member) -> (HoldState, &'static str) {
         match member.phase {
             Phase::Waiting { .. } => (HoldState::HoldEvicting, ""),
@@ -368,6 +371,7 @@
         self.end(now, attempt, end, reason);
     }
 
+    /// Records the end of a member.
     fn end(&mut self, now: Duration, attempt: &str, end: End, reason: &str) {
         let forget_at = now + self.retention;
         let Some(member) = self.members.get_mut(attempt) else { return };
@@ -390,6 +394,7 @@
         self.assert_invariants();
     }
 
+    /// Handles the time limits of one member.
     fn expire(&mut self, now: Duration, attempt: &str) {
         let Some(member) = self.members.get(attempt) else { return };
         match member.phase {
@@ -449,6 +454,7 @@
     }
 }
 
+/// How long a member's tasks have been running.
 fn run_time(now: Duration, member: &Member) -> Duration {
     match member.phase {
         Phase::Held { .. } => Duration::ZERO,
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -176,6 +176,8 @@
         self.log(line);
     }
 
+    /// Planner to which replies about an attempt are sent: the one that sent its hold, else the
+    /// current one.
     fn planner_of_attempt(&self, attempt: &str) -> Option<Peer> {
         let member = self.ledger.members().get(attempt);
         let planner = member.map(|member| member.planner.clone());
@@ -254,6 +256,7 @@
         }
     }
 
+    /// Whether a planner's message is accepted; logs a change of planner.
     fn accepts_planner(&mut self, from: &Peer, epoch: Option<&Epoch>) -> bool {
         let Some(epoch) = epoch else { return false };
         let is_new = self.planner.epoch() != Some(epoch);
@@ -337,6 +340,7 @@
         self.send_to_members(&decide.attempt, messages);
     }
 
+    /// Sends a coordinator's messages to the members of its gang.
     fn send_to_members(&mut self, attempt: &str, messages: Vec<gang::Message>) {
         let attempt = attempt.to_owned();
         for message in messages {
@@ -367,6 +371,7 @@
         self.send(from, frame::Body::Beat(beat));
     }
 
+    /// Handles a member's heartbeat as coordinator of its gang.
     fn receive_member_heartbeat(&mut self, now: Duration, from: &Peer, beat: Beat) {
         let lease = self.options.member_lease();
         let Some(gang) = self.gangs.get_mut(&beat.attempt) else {
@@ -405,6 +410,7 @@
         self.send(from, frame::Body::BarReply(reply));
     }
 
+    /// Stops a gang that this agent coordinates, if any, and its own member of it.
     fn invalidate_gang(&mut self, now: Duration, attempt: &str) -> TaskState {
         let lease = self.options.member_lease();
         if let Some(gang) = self.gangs.get_mut(attempt) {
@@ -533,6 +539,7 @@
         }
     }
 
+    /// Reports the state of a gang to the planner.
     fn report(&mut self, now: Duration, attempt: &str) {
         let Some(gang) = self.gangs.get(attempt) else { return };
         let report = gang.report(now, self.options.member_lease(), attempt);
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -71,6 +71,7 @@
     Ok(())
 }
 
+/// Checks whether the cell can ever run a job of this shape for its organisation.
 fn check_size(job: &Job, options: &Options<'_>) -> Result<(), Error> {
     let shape = job.shape.unwrap_or_default();
     if !options.fleet.could_hold(&shape) {
--- a/crates/entry/src/bindings.rs
+++ b/crates/entry/src/bindings.rs
@@ -116,6 +116,7 @@
     }
 }
 
+/// Logs a guarantee that can't be satisfied.
 fn log_unmet(unmet: &bind::Short, out: &mut Output) {
     out.log(
         LOG_PART,
--- a/crates/entry/src/effect.rs
+++ b/crates/entry/src/effect.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct Output {
     /// Messages with their receivers.
-    pub sends: Vec<(Peer, frame::Body)>,
+    pub messages: Vec<(Peer, frame::Body)>,
     /// Log lines.
     pub lines: Vec<Line>,
     /// Answers to callers.
@@ -48,7 +48,7 @@
 impl Output {
     /// Adds a message.
     pub fn send(&mut self, to: &Peer, body: frame::Body) {
-        self.sends.push((to.clone(), body));
+        self.messages.push((to.clone(), body));
     }
 
     /// Adds a log line.
--- a/crates/entry/src/job_calls.rs
+++ b/crates/entry/src/job_calls.rs
@@ -159,6 +159,7 @@
     answer.with("Sapphire-Job", &pending.job).retry_after(retry)
 }
 
+/// Answer to a caller according to the planner's reply.
 fn answer_to(pending: &Pending, reply: JobReply) -> answer::Answer {
     let found = reply.jobs.first();
     match (reply.state(), pending.kind, found) {
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -176,7 +176,7 @@
         for (caller, answer) in out.answers {
             self.effects.push(Effect::Answer(caller, answer));
         }
-        for (to, body) in out.sends {
+        for (to, body) in out.messages {
             if to.name == self.options.identity.name {
                 let identity = self.options.identity.clone();
                 self.handle_message(now, &identity, body);
@@ -311,9 +311,9 @@
     fn handle_cell_write(&mut self, now: Duration, reply: Reply) {
         let mut out = Output::default();
         let Some(planner) = &mut self.planner else { return };
-        let standing = planner.handle_write_reply(now, reply, &mut out);
+        let status = planner.handle_write_reply(now, reply, &mut out);
         self.flush(now, out);
-        match standing {
+        match status {
             planner::Status::Superseded(term) => self.superseded(now, term),
             planner::Status::Planner => self.tick_planner(now),
         }
@@ -332,6 +332,7 @@
         }
     }
 
+    /// Stops planning, or taking over, if this entry does so.
     fn step_down(&mut self, reason: &str) {
         if self.planner.take().is_some() || self.taking_over.take().is_some() {
             self.log(LOG_MEMBER, format!("stops planning reason=\"{reason}\""));
@@ -363,9 +364,10 @@
         true
     }
 
+    /// Handles a message. A message to an earlier process of this entry is dropped.
     fn handle_envelope(&mut self, now: Duration, envelope: envelope::Envelope) {
-        let mine = self.options.identity.generation;
-        if envelope.to_generation != 0 && envelope.to_generation != mine {
+        let own_generation = self.options.identity.generation;
+        if envelope.to_generation != 0 && envelope.to_generation != own_generation {
             return;
         }
         self.handle_message(now, &envelope.from, envelope.body);
@@ -445,6 +447,7 @@
         self.planner.as_ref().filter(|_| !self.is_resuming)
     }
 
+    /// Answers an announcement or a heartbeat of an agent.
     fn welcome(&mut self, now: Duration, from: &Peer, announce_again: bool) {
         let mut entries: Vec<Peer> = self.peers.reachable(now).map(|e| e.peer.clone()).collect();
         entries.push(self.options.identity.clone());
@@ -457,6 +460,7 @@
         self.send_slice(now, from);
     }
 
+    /// Sends an agent the rules that concern its worker, if this entry is the planner.
     fn send_slice(&mut self, now: Duration, agent: &Peer) {
         self.with_planner(now, |planner, context, out| {
             if let Some(agent) = context.registry.get(&agent.name) {
@@ -663,6 +667,8 @@
         self.tick_job_calls(now);
     }
 
+    /// Forwards a call about one job to the planner of the region that the job's identifier starts
+    /// with.
     fn call_for_job(
         &mut self,
         now: Duration,
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -45,7 +45,7 @@
             {
                 self.resolve(id, "its planner was replaced", out);
             }
-            Phase::Resolving => self.resolve_lost(now, id, context, out),
+            Phase::Resolving => self.continue_resolving(now, id, context, out),
             _ => {}
         }
     }
@@ -81,9 +81,9 @@
         agent.is_some_and(|agent| !context.registry.is_reachable(now, agent))
     }
 
-    /// Repeats the request to invalidate the attempt at agents that have not replied. Agents that
-    /// were declared lost will not reply.
-    pub(super) fn resolve_lost(
+    /// Repeats the request to invalidate an attempt at agents that have not replied. The final
+    /// state at an agent that was declared lost is unknown, since it will not reply.
+    pub(super) fn continue_resolving(
         &mut self,
         now: Duration,
         id: &str,
@@ -113,6 +113,7 @@
         }
     }
 
+    /// Requests the invalidation of an attempt at one agent.
     pub(super) fn send_invalidation(&self, attempt: &str, agent: Option<&Peer>, out: &mut Output) {
         let Some(agent) = agent else { return };
         let bar = Bar { attempt: attempt.to_owned(), epoch: Some(self.epoch.clone()) };
--- a/crates/entry/src/planner/calls.rs
+++ b/crates/entry/src/planner/calls.rs
@@ -68,6 +68,7 @@
         self.table.when_stored(from, call, &id)
     }
 
+    /// Checks whether the cell accepts a job.
     pub(super) fn admit(
         &self,
         job: &Job,
@@ -85,6 +86,7 @@
         admission::admit(job, &options)
     }
 
+    /// Replies with a job and, while it waits, the reason for that.
     pub(super) fn explain(&self, id: &str) -> JobReply {
         let mut reply = self.table.job_reply(id);
         for job in &mut reply.jobs {
@@ -95,6 +97,7 @@
         reply
     }
 
+    /// Replies with the jobs of an organisation, or all jobs if the name is empty.
     pub(super) fn list(&self, organisation: &str) -> JobReply {
         let is_wanted = |job: &&Job| organisation.is_empty() || job.organisation == organisation;
         let jobs = self.table.values().filter(is_wanted).cloned().collect();
--- a/crates/entry/src/planner/mod.rs
+++ b/crates/entry/src/planner/mod.rs
@@ -124,6 +124,7 @@
         }
     }
 
+    /// Takes over an attempt that may be in progress, as recorded in the store.
     fn adopt_attempt(&mut self, now: Duration, job: &str, recorded: &sapphire_wire::Attempt) {
         let assignment = |placement: &Placement| {
             let name = placement.agent.as_ref().map(|a| a.name.clone()).unwrap_or_default();
--- a/crates/entry/src/planner/reports.rs
+++ b/crates/entry/src/planner/reports.rs
@@ -22,6 +22,7 @@
         }
     }
 
+    /// Updates an attempt and its job according to a coordinator's report.
     pub(super) fn apply_report(&mut self, now: Duration, report: &Report, out: &mut Output) {
         let Some(attempt) = self.attempts.get_mut(&report.attempt) else { return };
         let job = attempt.job.clone();
@@ -100,6 +101,7 @@
         self.apply_report(now, report, out);
     }
 
+    /// Ends a job that was completed by an attempt of an earlier planner.
     pub(super) fn end_done_elsewhere(
         &mut self,
         now: Duration,
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Records that a job's gang has started.
     pub(super) fn mark_running(
         &mut self,
         now: Duration,
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -83,6 +83,7 @@
         }
     }
 
+    /// Ends waiting jobs whose deadline has passed or whose attempts are used up.
     pub(super) fn end_infeasible(
         &mut self,
         now: Duration,
@@ -165,6 +166,7 @@
         self.send_holds(&id, &job, out);
     }
 
+    /// Asks each agent of an attempt to reserve resources.
     pub(super) fn send_holds(&self, id: &str, job: &Job, out: &mut Output) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let coordinator =
@@ -195,7 +197,7 @@
         context: &Context<'_>,
         out: &mut Output,
     ) {
-        let hold = self.options.hold_timeout;
+        let hold_timeout = self.options.hold_timeout;
         let Some(attempt) = self.attempts.get_mut(&reply.attempt) else { return };
         let Phase::Holding { until } = attempt.phase else { return };
         let Some(assignment) = attempt.assignments.get_mut(&from.name) else { return };
@@ -206,7 +208,7 @@
             }
             HoldState::HoldEvicting => {
                 let grace = context.rules.reclaim().grace;
-                attempt.phase = Phase::Holding { until: until.max(now + grace + hold) };
+                attempt.phase = Phase::Holding { until: until.max(now + grace + hold_timeout) };
             }
             HoldState::HoldRefused => {
                 attempt.refused_by.push(assignment.worker.clone());
@@ -223,12 +225,12 @@
     /// did not know of the attempt could start the job a second time. An idempotent job is started
     /// without the record while the store is unavailable.
     pub(super) fn start_held(&mut self, now: Duration, out: &mut Output) {
-        let written = self.table.stored_change();
+        let stored_change = self.table.stored_change();
         let is_failing = self.table.is_failing();
         for (id, attempt) in &mut self.attempts {
             let Phase::Holding { .. } = attempt.phase else { continue };
             let may_repeat = self.table.get(&attempt.job).is_some_and(|job| job.idempotent);
-            let is_recorded = attempt.change <= written || (is_failing && may_repeat);
+            let is_recorded = attempt.change <= stored_change || (is_failing && may_repeat);
             if !attempt.is_held() || !is_recorded {
                 continue;
             }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -43,6 +43,7 @@
 }
 
 impl Agent {
+    /// Slots and queue places of the minion.
     fn total_places(&self) -> u32 {
         self.minion.as_ref().map_or(0, |minion| minion.slots + minion.waiting)
     }
--- a/crates/entry/src/requests.rs
+++ b/crates/entry/src/requests.rs
@@ -127,6 +127,7 @@
         }
     }
 
+    /// Reachable minions of the requested service that have free places and are not draining.
     fn candidates(
         &self,
         now: Duration,
@@ -157,6 +158,7 @@
         }
     }
 
+    /// Distance of an agent from this entry.
     fn distance(&self, agent: &registry::Agent) -> Distance {
         if agent.zone == self.options.zone {
             Distance::Zone
@@ -227,6 +229,7 @@
         self.drain_queue(now, registry, rng, out);
     }
 
+    /// Finishes or retries the request that an agent's answer belongs to.
     fn apply_answer(
         &mut self,
         now: Duration,
@@ -290,6 +293,7 @@
         self.queue.push_front(next);
     }
 
+    /// Removes a request and answers its caller.
     fn finish(
         &mut self,
         attempt: &str,
@@ -449,10 +453,12 @@
     }
 }
 
+/// Answer to a request that is shed.
 fn shed(reason: &str) -> answer::Answer {
     answer::Answer::failure(503, Account::NotRun, reason).retry_after(SHED_RETRY_AFTER)
 }
 
+/// Answer to a request that its minion has served.
 fn complete_answer(answer: Answer) -> answer::Answer {
     let status = u16::try_from(answer.status).unwrap_or(502);
     let headers = answer.headers.into_iter().filter(|header| api::is_end_to_end(&header.name));
--- a/crates/entry/src/rulebook.rs
+++ b/crates/entry/src/rulebook.rs
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Applies a value that was read from the store; returns whether newer rules are in force.
     fn adopt(&mut self, value: &Value) -> bool {
         if value.revision < self.store_revision {
             return false;
@@ -167,6 +168,7 @@
         Ok(Call::Put { key, expected: self.store_revision, value, lease: None })
     }
 
+    /// Creates the document that follows the current one, with as much history as fits.
     fn successor(&self, now: Duration, apply: &api::Apply, write: String) -> Ruleset {
         let mut history = Vec::new();
         if self.current.revision > 0 {
@@ -252,6 +254,7 @@
     }
 }
 
+/// Whether the stored document, or its history, is the result of this write.
 fn contains_write(value: &Value, ruleset: &Ruleset) -> bool {
     let Ok(stored) = Ruleset::decode(value.bytes.clone()) else { return false };
     let is_past = |past: &Past| {
@@ -263,6 +266,7 @@
     stored.write == ruleset.write || stored.history.iter().any(is_past)
 }
 
+/// Answer to an operator whose file was accepted.
 fn accepted_answer(ruleset: &Ruleset) -> Answer {
     Answer::json(200, &json!({ "account": "done", "revision": ruleset.revision }))
 }
