--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -13,5 +13,4 @@
 pub mod member;
 pub mod options;
 pub mod planner;
-
 pub mod slots;
--- a/crates/agent/tests/ledger/mod.rs
+++ b/crates/agent/tests/ledger/mod.rs
@@ -64,9 +64,9 @@
 /// The planner invalidates an attempt whose hold is still on its way. Since the caller is answered
 /// "not run", the hold is refused when it arrives, and so is a lease.
 #[test]
-fn a_hold_that_arrives_after_its_bar_is_refused() {
+fn a_hold_that_arrives_after_its_invalidation_is_refused() {
     let mut ledger = ledger();
-    assert_eq!(ledger.invalidate(SECOND, "j/1", "settling"), TaskState::TaskBarred);
+    assert_eq!(ledger.invalidate(SECOND, "j/1", "resolving"), TaskState::TaskBarred);
     ledger.hold(SECOND, &hold("j/1", "archive", 4, false), &planner());
     assert_matches!(replies(&mut ledger).as_slice(), [(HoldState::HoldRefused, _)]);
     assert_eq!(ledger.apply_lease(SECOND, "j/1", 0), TaskState::TaskBarred);
@@ -84,7 +84,7 @@
     ledger.take_changes();
     ledger.hold(SECOND, &hold("g/1", "review", 8, true), &planner());
     let refused = replies(&mut ledger);
-    assert_matches!(refused.as_slice(), [(HoldState::HoldRefused, why)] if why.contains("draining"));
+    assert_matches!(refused.as_slice(), [(HoldState::HoldRefused, reason)] if reason.contains("draining"));
     assert_matches!(ledger.members()["b/1"].phase, Phase::Running { .. });
 }
 
--- a/crates/agent/tests/slots/mod.rs
+++ b/crates/agent/tests/slots/mod.rs
@@ -31,7 +31,7 @@
 /// The entry invalidates a request that seems lost and answers "not run" to its caller; then the
 /// request arrives after all. It is refused.
 #[test]
-fn a_request_that_arrives_after_its_bar_is_refused() {
+fn a_request_that_arrives_after_its_invalidation_is_refused() {
     let mut slots = Slots::new(1, SECOND * 60);
     assert_eq!(slots.invalidate(SECOND, "late"), TaskState::TaskBarred);
     assert_matches!(admit(&mut slots, "late"), Decision::Refused(_));
