--- a/crates/planner/src/accept.rs
+++ b/crates/planner/src/accept.rs
@@ -9,23 +9,23 @@
 impl Planner {
     /// Accepts a job of which an entry has notified the planner. Entries send a notice as soon as
     /// the job is written to the store, and send it again to the next planner.
-    pub(crate) fn told(&mut self, now: Moment, job: Job) {
+    pub(crate) fn accept_notified(&mut self, now: Moment, job: Job) {
         let is_new = job.term == self.term;
-        let handed_in = if is_new { now.steady } else { handed_in(now, &job) };
-        self.accept(now, job, handed_in);
+        let submitted = if is_new { now.steady } else { submission_time(now, &job) };
+        self.accept(now, job, submitted);
     }
 
     /// Accepts a job from its record, which an entry wrote in this term or an earlier one.
-    pub(crate) fn accept(&mut self, now: Moment, job: Job, handed_in: Duration) {
+    pub(crate) fn accept(&mut self, now: Moment, job: Job, submitted: Duration) {
         let id = job.id.clone();
         let is_inherited = job.term < self.term;
-        let mut entry = Entry::new(Arc::new(job), is_inherited, handed_in);
-        entry.materialise(now);
+        let mut entry = Entry::new(Arc::new(job), is_inherited, submitted);
+        entry.add_due_occurrences(now);
         if !self.table.insert(entry) {
             return;
         }
         self.needs_pass = true;
-        self.fit_job(&id);
+        self.update_step_capacity(&id);
         self.log_accepted(&id);
         if self.early_cancels.remove(&id) {
             self.cancel(now, &id);
@@ -35,12 +35,12 @@
     fn log_accepted(&mut self, id: &str) {
         let Some(entry) = self.table.entries.get(id) else { return };
         let steps: Vec<String> = entry.job.steps.iter().map(describe).collect();
-        let (terms, objective) = (self.terms(entry), self.objective(entry).as_millis());
+        let (settings, objective) = (self.queue_settings(entry), self.objective(entry).as_millis());
         let text = format!(
             "job={id} queue={} organisation={} priority={} objective_ms={objective} steps=[{}]",
             entry.job.queue,
             entry.job.organisation,
-            terms.priority,
+            settings.priority,
             steps.join(" ")
         );
         self.log(text);
@@ -59,7 +59,7 @@
         entry.ended = Some(now.steady);
         entry.dirty = None;
         self.table.open.remove(id);
-        self.table.show(id, State::Cancelled);
+        self.table.report_state(id, State::Cancelled);
         self.stop_job(now.steady, id, &Cause::Cancelled);
         self.needs_pass = true;
         self.log(format!("job={id} cancelled"));
@@ -70,7 +70,7 @@
 ///
 /// Wall clocks differ between machines and may jump, so this is used only for jobs whose submission
 /// time is not known otherwise.
-pub(crate) fn handed_in(now: Moment, job: &Job) -> Duration {
+pub(crate) fn submission_time(now: Moment, job: &Job) -> Duration {
     let age = now.unix.saturating_sub(Duration::from_millis(job.accepted_ms));
     now.steady.saturating_sub(age)
 }
@@ -78,10 +78,14 @@
 /// Describes a step in one word for the log: number of tasks, resources of each, declared run time
 /// and requirements.
 fn describe(step: &Step) -> String {
-    let room = Room::read(step.room.as_ref());
+    let resources = Room::read(step.room.as_ref());
     let mut text = format!(
         "{}x{}m/{}MiB/{}a/{}ms",
-        step.tasks, room.millicores, room.memory_mib, room.accelerators, step.estimate_ms
+        step.tasks,
+        resources.millicores,
+        resources.memory_mib,
+        resources.accelerators,
+        step.estimate_ms
     );
     let flags = [
         (step.is_gang, "gang"),
--- a/crates/planner/src/commit.rs
+++ b/crates/planner/src/commit.rs
@@ -13,11 +13,11 @@
     keys::{self, Key},
     options,
     planner::Planner,
-    table::Haste,
+    table::Urgency,
 };
 
 /// Maximum number of jobs in one write, given the store's limit of 32 rows.
-const JOBS_AT_ONCE: usize = 12;
+const MAX_WRITTEN_JOBS: usize = 12;
 
 impl Planner {
     /// Writes progress if some of it is due.
@@ -26,23 +26,23 @@
         if is_busy || !self.startup.is_serving() {
             return;
         }
-        let mut dirty: Vec<(Haste, Duration, &JobId)> = (self.table.entries.iter())
-            .filter_map(|(id, entry)| entry.dirty.map(|dirty| (dirty.haste, dirty.due, id)))
+        let mut dirty: Vec<(Urgency, Duration, &JobId)> = (self.table.entries.iter())
+            .filter_map(|(id, entry)| entry.dirty.map(|dirty| (dirty.urgency, dirty.due, id)))
             .collect();
         dirty.sort_unstable();
         if !dirty.iter().any(|(_, due, _)| now.steady >= *due) {
             return;
         }
         let jobs: Vec<JobId> =
-            dirty.into_iter().take(JOBS_AT_ONCE).map(|(_, _, id)| id.clone()).collect();
+            dirty.into_iter().take(MAX_WRITTEN_JOBS).map(|(_, _, id)| id.clone()).collect();
         self.commits.is_writing = true;
         let call = self.progress_call(&jobs);
         let numbers = jobs.into_iter().map(|id| {
-            let changes = self.table.entries.get(&id).map_or(0, |entry| entry.changes);
-            (id, changes)
+            let change = self.table.entries.get(&id).map_or(0, |entry| entry.last_change);
+            (id, change)
         });
         let operation = Operation::Progress(numbers.collect());
-        self.out.push(Effect::Store(operation, call));
+        self.effects.push(Effect::Store(operation, call));
     }
 
     /// Builds the write, which is conditional on the planner's key and on the latest revision of
@@ -68,39 +68,39 @@
         self.commits.is_writing = false;
         match reply {
             Reply::Committed(revision) => {
-                for (id, changes) in jobs {
-                    self.committed(&id, changes, revision);
+                for (id, change) in jobs {
+                    self.progress_committed(&id, change, revision);
                 }
             }
             Reply::Refused(items) => {
                 if !self.is_deposed_by(&items) {
-                    self.reread(&jobs, &items);
+                    self.adopt_revisions(&jobs, &items);
                 }
             }
-            _ => self.commits.retry_at = now.steady + options::RETRY,
+            _ => self.commits.retry_at = now.steady + options::RETRY_DELAY,
         }
     }
 
-    fn committed(&mut self, id: &str, changes: u64, revision: u64) {
+    fn progress_committed(&mut self, id: &str, change: u64, revision: u64) {
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         entry.revision = revision;
-        entry.committed = entry.committed.max(changes);
-        if entry.committed == entry.changes {
+        entry.committed_change = entry.committed_change.max(change);
+        if entry.committed_change == entry.last_change {
             entry.dirty = None;
         }
         let state = entry.state;
-        let is_whole = entry.committed == entry.changes;
-        if is_whole && entry.is_over() {
+        let is_durable = entry.committed_change == entry.last_change;
+        if is_durable && entry.is_over() {
             self.log(format!("job={id} state={} is durable", state.as_str_name()));
-            self.table.show(id, state);
+            self.table.report_state(id, state);
         }
     }
 
     /// Adopts the revisions in the store after a refused write: an earlier write of this term,
     /// whose reply was lost, has been carried out.
-    fn reread(&mut self, jobs: &[(JobId, u64)], items: &[Item]) {
+    fn adopt_revisions(&mut self, jobs: &[(JobId, u64)], items: &[Item]) {
         for (id, _) in jobs {
-            let found = items.iter().find(|item| keys::read(&item.key) == Key::Progress(id));
+            let found = items.iter().find(|item| keys::parse(&item.key) == Key::Progress(id));
             if let Some(entry) = self.table.entries.get_mut(id) {
                 entry.revision = found.map_or(0, |item| item.revision);
             }
@@ -108,7 +108,7 @@
     }
 
     /// Removes the records of jobs that ended long ago.
-    pub(crate) fn forget(&mut self, jobs: Vec<JobId>) {
+    pub(crate) fn remove_jobs(&mut self, jobs: Vec<JobId>) {
         if jobs.is_empty() {
             return;
         }
@@ -117,20 +117,20 @@
             .collect();
         let conditions = vec![Condition { key: keys::LEAD.to_owned(), revision: self.term }];
         for id in &jobs {
-            self.table.forget(id);
+            self.table.remove(id);
         }
         let call = Call::Commit { conditions, puts: Vec::new(), removes };
-        self.out.push(Effect::Store(Operation::Forget(jobs), call));
+        self.effects.push(Effect::Store(Operation::Forget(jobs), call));
     }
 
     /// Handles a reply of the store.
-    pub(crate) fn stored(&mut self, now: Moment, operation: Operation, reply: Reply) {
+    pub(crate) fn handle_reply(&mut self, now: Moment, operation: Operation, reply: Reply) {
         match operation {
-            Operation::Scan => self.scanned(now, reply),
+            Operation::Scan => self.handle_scan(now, reply),
             Operation::Fleet => self.fleet_written(now, reply),
             Operation::Progress(jobs) => self.progress_written(now, jobs, reply),
             Operation::Unanswered => self.unanswered_written(now, reply),
-            Operation::Intake => self.intake_read(now, reply),
+            Operation::Intake => self.handle_intake(now, reply),
             Operation::Forget(jobs) => {
                 if !matches!(reply, Reply::Committed(_)) {
                     // The next planner finds these jobs and removes them.
--- a/crates/planner/src/effect.rs
+++ b/crates/planner/src/effect.rs
@@ -3,17 +3,17 @@
 use sapphire_jobs::{Feed, Orders};
 use sapphire_store::call::Call;
 
-use crate::event::{Asker, Operation};
+use crate::event::{Operation, Requester};
 
 /// An effect.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Answer an agent's poll with orders.
-    Orders(Asker, Box<Orders>),
+    Orders(Requester, Box<Orders>),
     /// Answer an entry's poll with a feed.
-    Feed(Asker, Box<Feed>),
+    Feed(Requester, Box<Feed>),
     /// Decline a poll that a later one of the same process has replaced.
-    Decline(Asker),
+    Decline(Requester),
     /// Call the store.
     Store(Operation, Call),
     /// Announce to the agents at these addresses that this entry plans.
--- a/crates/planner/src/ends.rs
+++ b/crates/planner/src/ends.rs
@@ -9,16 +9,16 @@
 
 use crate::{
     event::Moment,
-    group::{Phase, Shown},
+    group::{Observation, Phase},
     planner::{Planner, estimate_kind},
-    table::Haste,
+    table::Urgency,
     worker::{Cause, Phase as RunPhase, Run},
 };
 
 impl Planner {
     /// Handles the end of a run. Returns the change of the job's progress, if any, that must be
     /// durable before the end may be acknowledged. The same end may be reported several times.
-    pub(crate) fn ended(
+    pub(crate) fn run_ended(
         &mut self,
         now: Moment,
         name: &str,
@@ -27,41 +27,42 @@
         ending: Ending,
         checkpoint: &str,
     ) -> Option<(JobId, u64)> {
-        let left = self.leave_ledger(name, task, number);
-        let whole = left.as_ref().and_then(|run| match ending {
-            Ending::Done => run.whole_when_done(now.steady),
-            _ => self.whole_near(task, run),
+        let removed = self.remove_run(name, task, number);
+        let run_time = removed.as_ref().and_then(|run| match ending {
+            Ending::Done => run.completed_run_time(now.steady),
+            _ => self.local_run_time(task, run),
         });
-        let stop = left.as_ref().and_then(|run| run.stop.as_ref());
-        let is_doubted = stop.is_some_and(|stop| stop.cause == Cause::Slow);
+        let stop = removed.as_ref().and_then(|run| run.stop.as_ref());
+        let is_suspect = stop.is_some_and(|stop| stop.cause == Cause::Slow);
         self.needs_pass = true;
-        self.log_end(now, name, &task.run(number), ending, checkpoint, left.as_ref());
+        self.log_end(now, name, &task.run(number), ending, checkpoint, removed.as_ref());
         let entry = self.table.entries.get(&task.job)?;
         let step = entry.step(task.step)?;
         let (is_over, is_long) = (entry.is_over(), step.is_long_running);
         let key = GroupKey::of(task, step.is_gang);
         let group = entry.groups.get(&key)?;
         let (is_final, is_current) = (group.is_final(), group.run == number);
-        self.save_checkpoint(now, task, &key, checkpoint);
+        self.keep_checkpoint(now, task, &key, checkpoint);
         match ending {
             Ending::Done if !is_final && !is_long => {
-                self.learn_from(name, task, &key, number, whole);
+                self.learn_run_time(name, task, &key, number, run_time);
                 return self.group_done(now, &task.job, &key);
             }
-            Ending::Faulty if !is_over => self.note_fault(now, name, task, &key, number),
+            Ending::Faulty if !is_over => self.record_failure(now, name, task, &key, number),
             _ => {}
         }
-        if let Some(whole) = whole.filter(|_| is_current) {
-            let shown = Shown { is_doubted, ..Shown::sound(whole, name, number) };
-            self.note_shown(task, &key, shown);
+        if let Some(run_time) = run_time.filter(|_| is_current) {
+            let observation =
+                Observation { is_suspect, ..Observation::healthy(run_time, name, number) };
+            self.record_observation(task, &key, observation);
         }
-        let vital = self.table.entries.get(&task.job)?.vital;
-        self.member_left(now, task, &key, number);
-        Some((task.job.clone(), vital))
+        let last_critical_change = self.table.entries.get(&task.job)?.last_critical_change;
+        self.member_ended(now, task, &key, number);
+        Some((task.job.clone(), last_critical_change))
     }
 
     /// Keeps the checkpoint that a run had saved when it ended.
-    fn save_checkpoint(&mut self, now: Moment, task: &Task, key: &GroupKey, checkpoint: &str) {
+    fn keep_checkpoint(&mut self, now: Moment, task: &Task, key: &GroupKey, checkpoint: &str) {
         let Some(entry) = self.table.entries.get_mut(&task.job) else { return };
         let is_over = entry.is_over();
         let Some(group) = entry.groups.get_mut(key) else { return };
@@ -70,36 +71,36 @@
         }
         checkpoint.clone_into(&mut group.checkpoint);
         if self.options.policy.keep_checkpoints && !is_over {
-            entry.touch(now.steady, Haste::Patient);
+            entry.record_change(now.steady, Urgency::Deferred);
         }
     }
 
     /// Learns the run time from a run that succeeded, unless it ran where it is slower.
-    fn learn_from(
+    fn learn_run_time(
         &mut self,
         name: &str,
         task: &Task,
         key: &GroupKey,
         number: RunNumber,
-        whole: Option<Duration>,
+        run_time: Option<Duration>,
     ) {
         self.suspects.succeeded(name);
         let Some(entry) = self.table.entries.get_mut(&task.job) else { return };
         let Some(step) = entry.step(task.step).cloned() else { return };
         let Some(group) = entry.groups.get_mut(key) else { return };
         let is_current = group.run == number;
-        let is_near = group.active().is_some_and(|active| is_current && !active.is_far);
-        let Some(whole) = whole.filter(|_| is_near) else { return };
-        group.note_shown(Shown::sound(whole, name, number));
+        let is_near = group.active().is_some_and(|active| is_current && !active.is_remote);
+        let Some(run_time) = run_time.filter(|_| is_near) else { return };
+        group.record_observation(Observation::healthy(run_time, name, number));
         let kind = estimate_kind(entry, &step);
-        self.estimates.observe_kind(kind, length::declared(&step), whole);
+        self.estimates.observe_kind(kind, length::declared(&step), run_time);
     }
 
     /// Counts a run that failed by its own fault, once.
     ///
     /// Runs that this planner did not order count as well: if a failure were forgotten, the task
     /// would start more often than its queue allows.
-    fn note_fault(
+    fn record_failure(
         &mut self,
         now: Moment,
         name: &str,
@@ -117,7 +118,7 @@
         }
         group.avoid.push(name.to_owned());
         self.suspects.failed(name, now.steady);
-        entry.touch(now.steady, Haste::Soon);
+        entry.record_change(now.steady, Urgency::Soon);
     }
 
     /// Logs the end of a run: why it was stopped, how long it ran, and how much of its work is
@@ -129,22 +130,25 @@
         run: &sapphire_jobs::Run,
         ending: Ending,
         checkpoint: &str,
-        left: Option<&Run>,
+        removed: Option<&Run>,
     ) {
         let (task, number) = (Task::read(run), run.run);
         let mut text =
             format!("task={task} run={number} worker={name} ended={}", ending.as_str_name());
-        if let Some(left) = left {
+        if let Some(removed) = removed {
             let has_saved = ending == Ending::Stopped && !checkpoint.is_empty();
             let is_kept = ending == Ending::Done || has_saved;
-            let sound = self.sound_time(&task).unwrap_or_default();
-            let lost = if is_kept { 0.0 } else { left.unsaved(now.steady, sound) };
-            let ran = match left.phase {
+            let healthy = self.healthy_run_time(&task).unwrap_or_default();
+            let lost = if is_kept { 0.0 } else { removed.unsaved_work(now.steady, healthy) };
+            let ran = match removed.phase {
                 RunPhase::Ordered => 0,
-                _ => now.steady.saturating_sub(left.began).as_millis(),
+                _ => now.steady.saturating_sub(removed.began).as_millis(),
             };
-            text += &format!(" ran_ms={ran} cores={:.1} lost_core_s={lost:.1}", left.room.weight());
-            if let Some(stop) = &left.stop {
+            text += &format!(
+                " ran_ms={ran} cores={:.1} lost_core_s={lost:.1}",
+                removed.resources.weight()
+            );
+            if let Some(stop) = &removed.stop {
                 text += &format!(" cause={}", stop.cause);
             }
         }
@@ -152,22 +156,22 @@
     }
 
     /// Returns the expected run time of a task on a healthy worker near its data.
-    fn sound_time(&self, task: &Task) -> Option<Duration> {
-        Some(self.expect(self.table.entries.get(&task.job)?, task.step))
+    fn healthy_run_time(&self, task: &Task) -> Option<Duration> {
+        Some(self.expected_run_time(self.table.entries.get(&task.job)?, task.step))
     }
 
     /// Removes a run from its worker.
-    fn leave_ledger(&mut self, name: &str, task: &Task, number: RunNumber) -> Option<Run> {
+    fn remove_run(&mut self, name: &str, task: &Task, number: RunNumber) -> Option<Run> {
         let worker = self.workers.get_mut(name)?;
         worker.runs.get(task).filter(|run| run.number == number)?;
         worker.runs.remove(task)
     }
 
     /// Records the run time of a group as inferred from a run that was not completed.
-    fn note_shown(&mut self, task: &Task, key: &GroupKey, shown: Shown) {
+    fn record_observation(&mut self, task: &Task, key: &GroupKey, observation: Observation) {
         let entry = self.table.entries.get_mut(&task.job);
         if let Some(group) = entry.and_then(|entry| entry.groups.get_mut(key)) {
-            group.note_shown(shown);
+            group.record_observation(observation);
         }
     }
 
@@ -181,13 +185,13 @@
             entry.state = State::Complete;
             entry.ended = Some(now.steady);
         }
-        let haste = if is_complete { Haste::Now } else { Haste::Soon };
-        let changes = entry.touch(now.steady, haste);
+        let urgency = if is_complete { Urgency::Immediate } else { Urgency::Soon };
+        let change = entry.record_change(now.steady, urgency);
         if is_complete {
             self.table.open.remove(id);
             self.log_done(now, id);
         }
-        Some((id.to_owned(), changes))
+        Some((id.to_owned(), change))
     }
 
     fn log_done(&mut self, now: Moment, id: &str) {
@@ -202,22 +206,22 @@
     }
 
     /// Handles the end of one member of a group's run that did not succeed.
-    fn member_left(&mut self, now: Moment, task: &Task, key: &GroupKey, number: RunNumber) {
+    fn member_ended(&mut self, now: Moment, task: &Task, key: &GroupKey, number: RunNumber) {
         let Some(entry) = self.table.entries.get_mut(&task.job) else { return };
         let Some(group) = entry.groups.get_mut(key) else { return };
         if group.run != number && group.active().is_some() {
             return;
         }
         let Some(active) = group.active_mut() else {
-            self.group_stopped(now, &task.job, key);
+            self.group_run_ended(now, &task.job, key);
             return;
         };
-        active.left.remove(&task.index);
-        if active.left.is_empty() {
+        active.unfinished.remove(&task.index);
+        if active.unfinished.is_empty() {
             group.ended_run = group.ended_run.max(number);
             group.phase = Phase::Waiting;
-            group.since = now.steady;
-            self.group_stopped(now, &task.job, key);
+            group.waiting_since = now.steady;
+            self.group_run_ended(now, &task.job, key);
         } else {
             self.stop_group(now.steady, &task.job, key, &Cause::Gang);
         }
@@ -230,9 +234,9 @@
         let number = group.run;
         let Some(active) = group.active_mut() else { return };
         active.is_stopping = true;
-        let left: Vec<(u32, WorkerName)> =
-            active.left.iter().map(|(index, worker)| (*index, worker.clone())).collect();
-        for (index, worker) in left {
+        let unfinished: Vec<(u32, WorkerName)> =
+            active.unfinished.iter().map(|(index, worker)| (*index, worker.clone())).collect();
+        for (index, worker) in unfinished {
             let task =
                 Task { job: id.to_owned(), occurrence: key.occurrence, step: key.step, index };
             self.stop(now, &worker, &task, number, cause);
@@ -241,9 +245,9 @@
 
     /// Handles the end of the last task of a group's run: the group waits again, or its job has
     /// failed.
-    fn group_stopped(&mut self, now: Moment, id: &str, key: &GroupKey) {
+    fn group_run_ended(&mut self, now: Moment, id: &str, key: &GroupKey) {
         let Some(entry) = self.table.entries.get(id) else { return };
-        let limit = self.terms(entry).max_attempts;
+        let limit = self.queue_settings(entry).max_attempts;
         let entry = self.table.entries.get_mut(id).expect("looked up above");
         let is_long = entry.step(key.step).is_some_and(|step| step.is_long_running);
         let is_over = entry.is_over();
@@ -255,7 +259,7 @@
         group.phase = Phase::Failed;
         entry.state = State::Failed;
         entry.ended = Some(now.steady);
-        entry.touch(now.steady, Haste::Now);
+        entry.record_change(now.steady, Urgency::Immediate);
         self.table.open.remove(id);
         self.log(format!("job={id} step={} failed {failed} times; job fails", key.step));
         self.stop_job(now.steady, id, &Cause::JobFailed);
@@ -266,7 +270,7 @@
     ///
     /// Guards against work of many seconds that is done again: when a worker loses power, its
     /// checkpoint is known only from the worker's lists.
-    pub(crate) fn note_checkpoint(
+    pub(crate) fn record_checkpoint(
         &mut self,
         now: Moment,
         task: &Task,
@@ -283,12 +287,12 @@
         let is_current = group.run == number && group.active().is_some();
         if is_current && group.checkpoint != checkpoint {
             checkpoint.clone_into(&mut group.checkpoint);
-            entry.touch(now.steady, Haste::Patient);
+            entry.record_change(now.steady, Urgency::Deferred);
         }
     }
 
     /// Records that a minion runs a task.
-    pub(crate) fn began(&mut self, now: Moment, task: &Task, number: RunNumber) {
+    pub(crate) fn run_began(&mut self, now: Moment, task: &Task, number: RunNumber) {
         let Some(entry) = self.table.entries.get_mut(&task.job) else { return };
         let Some(step) = entry.step(task.step) else { return };
         let key = GroupKey::of(task, step.is_gang);
@@ -301,7 +305,7 @@
         entry.has_begun = true;
         if entry.state == State::Queued {
             entry.state = State::Active;
-            self.table.show(&task.job, State::Active);
+            self.table.report_state(&task.job, State::Active);
         }
     }
 }
--- a/crates/planner/src/event.rs
+++ b/crates/planner/src/event.rs
@@ -6,7 +6,7 @@
 use sapphire_store::call::Reply;
 
 /// Number of a request that waits for an answer; assigned by the I/O layer.
-pub type Asker = u64;
+pub type Requester = u64;
 
 /// The current time on two clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An agent reports and asks for orders.
-    Poll(Asker, Box<Poll>),
+    Poll(Requester, Box<Poll>),
     /// An entry asks for changes.
-    Feed(Asker, FeedPoll),
+    Feed(Requester, FeedPoll),
     /// An entry reports what it has written to the store.
     Notice(Notice),
     /// A requester has closed its connection.
-    Left(Asker),
+    Left(Requester),
     /// The store has replied.
     Store(Operation, Reply),
     /// The configuration has changed to this one.
--- a/crates/planner/src/feed.rs
+++ b/crates/planner/src/feed.rs
@@ -6,35 +6,38 @@
 
 use crate::{
     effect::Effect,
-    event::{Asker, Moment},
+    event::{Moment, Requester},
     options,
     planner::Planner,
-    state::feeds::{Feeds, Reader, Told},
+    state::feeds::{Delivery, Feeds, Subscriber},
 };
 
 impl Planner {
     /// Returns whether another entry has reached the store after `since`.
     pub fn is_store_reached(&self, since: Duration) -> bool {
         let reached = |at: Duration| at > since;
-        self.feeds.readers.values().any(|reader| reader.store_reached.is_some_and(reached))
+        self.feeds
+            .subscribers
+            .values()
+            .any(|subscriber| subscriber.store_reached.is_some_and(reached))
     }
 
-    pub(crate) fn feed_poll(&mut self, now: Moment, asker: Asker, poll: FeedPoll) {
+    pub(crate) fn handle_feed_poll(&mut self, now: Moment, requester: Requester, poll: FeedPoll) {
         let term = self.term;
-        let reader = self.feeds.readers.entry(poll.entry).or_insert_with(|| Reader {
+        let subscriber = self.feeds.subscribers.entry(poll.entry).or_insert_with(|| Subscriber {
             address: poll.address.clone(),
-            heard: now.steady,
+            last_contact: now.steady,
             store_reached: None,
-            held: None,
-            told: Told::default(),
+            long_poll: None,
+            delivery: Delivery::default(),
         });
-        reader.address = poll.address;
-        reader.heard = now.steady;
+        subscriber.address = poll.address;
+        subscriber.last_contact = now.steady;
         let reached = now.steady.checked_sub(Duration::from_millis(poll.store_age_ms));
-        reader.store_reached = reader.store_reached.max(reached);
+        subscriber.store_reached = subscriber.store_reached.max(reached);
         let known = if poll.term == term { poll.version } else { 0 };
-        if let Some((earlier, _)) = reader.held.replace((asker, known)) {
-            self.out.push(Effect::Decline(earlier));
+        if let Some((earlier, _)) = subscriber.long_poll.replace((requester, known)) {
+            self.effects.push(Effect::Decline(earlier));
         }
         self.feeds.refresh(now.steady);
     }
@@ -47,34 +50,39 @@
         }
         let version = self.table.version;
         let mut due = Vec::new();
-        let Feeds { readers, addresses } = &mut self.feeds;
-        for reader in readers.values_mut() {
-            let is_over = now.steady >= reader.heard + options::FEED_HOLD;
-            let held = reader.held.take_if(|(_, known)| *known < version || is_over);
-            let Some((asker, known)) = held else { continue };
+        let Feeds { subscribers, addresses } = &mut self.feeds;
+        for subscriber in subscribers.values_mut() {
+            let is_over = now.steady >= subscriber.last_contact + options::FEED_TIMEOUT;
+            let long_poll = subscriber.long_poll.take_if(|(_, known)| *known < version || is_over);
+            let Some((requester, known)) = long_poll else { continue };
             if known == 0 {
-                reader.told = Told::default();
+                subscriber.delivery = Delivery::default();
             }
-            due.push((asker, known, addresses.news(now.steady, &mut reader.told)));
+            due.push((
+                requester,
+                known,
+                addresses.update_for(now.steady, &mut subscriber.delivery),
+            ));
         }
-        for (asker, known, entries) in due {
+        for (requester, known, entries) in due {
             let feed = Feed { entries, ..self.feed(now, known) };
-            self.out.push(Effect::Feed(asker, Box::new(feed)));
+            self.effects.push(Effect::Feed(requester, Box::new(feed)));
         }
     }
 
     fn feed(&self, now: Moment, known: u64) -> Feed {
-        let news = self.table.entries.iter().filter(|(_, entry)| entry.version > known);
-        let rows = news.map(|(id, entry)| Row {
+        let changed = self.table.entries.iter().filter(|(_, entry)| entry.version > known);
+        let rows = changed.map(|(id, entry)| Row {
             job: id.clone(),
             queue: entry.job.queue.clone(),
-            state: entry.shown.into(),
+            state: entry.reported_state.into(),
         });
-        let gone = self.table.gone.iter().filter(|(version, _)| *version > known);
+        let gone = self.table.removed.iter().filter(|(version, _)| *version > known);
         let age = |at: Duration| now.steady.saturating_sub(at).as_millis();
-        let (config_revision, config_age_ms) = self.proof.map_or((0, 0), |(revision, at)| {
-            (revision, u64::try_from(age(at)).unwrap_or(u64::MAX))
-        });
+        let (config_revision, config_age_ms) =
+            self.verified_catalog.map_or((0, 0), |(revision, at)| {
+                (revision, u64::try_from(age(at)).unwrap_or(u64::MAX))
+            });
         Feed {
             term: self.term,
             version: self.table.version,
@@ -89,10 +97,10 @@
     }
 
     /// Drops the poll of a requester that has disconnected.
-    pub(crate) fn left(&mut self, asker: Asker) {
-        self.feeds.left(asker);
+    pub(crate) fn disconnected(&mut self, requester: Requester) {
+        self.feeds.disconnected(requester);
         for worker in self.workers.values_mut() {
-            worker.held.take_if(|held| held.asker == asker);
+            worker.long_poll.take_if(|long_poll| long_poll.requester == requester);
         }
     }
 }
--- a/crates/planner/src/group.rs
+++ b/crates/planner/src/group.rs
@@ -8,7 +8,7 @@
 use sapphire_jobs::task::{RunNumber, WorkerName};
 
 /// Unfinished tasks of a group's run, by index, with their workers.
-pub type Seats = BTreeMap<u32, WorkerName>;
+pub type Assignments = BTreeMap<u32, WorkerName>;
 
 /// State of a group.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,15 +27,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Active {
     /// Time at which the run was ordered.
-    pub since: Duration,
+    pub ordered_at: Duration,
     /// Time at which a minion was first known to run one of its tasks.
     pub began: Option<Duration>,
     /// Tasks that have not ended.
-    pub left: Seats,
+    pub unfinished: Assignments,
     /// The planner is stopping the tasks.
     pub is_stopping: bool,
     /// The run is away from its data, or on several racks although it wants one.
-    pub is_far: bool,
+    pub is_remote: bool,
     /// Checkpoint that the run started from; empty for none. All members of a gang start from the
     /// same.
     pub checkpoint: String,
@@ -47,28 +47,28 @@
     /// Time at which they should be free.
     pub until: Duration,
     /// Number of tasks by worker.
-    pub seats: Vec<(WorkerName, u32)>,
+    pub assignments: Vec<(WorkerName, u32)>,
 }
 
 /// The shortest run time observed for a group: of a complete run, or extrapolated from the pace of
 /// a run that ended early.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct Observation {
     /// Total run time.
-    pub whole: Duration,
+    pub run_time: Duration,
     /// Worker of the run.
     pub worker: WorkerName,
     /// Number of the run.
     pub run: RunNumber,
     /// The run was stopped as too slow, and the group was slow on this worker only, so that the
     /// worker may be the cause.
-    pub is_doubted: bool,
+    pub is_suspect: bool,
 }
 
-impl Shown {
+impl Observation {
     /// Returns an observation on a worker that is not suspected to be slow.
-    pub fn sound(whole: Duration, worker: &str, run: RunNumber) -> Self {
-        Shown { whole, worker: worker.to_owned(), run, is_doubted: false }
+    pub fn healthy(run_time: Duration, worker: &str, run: RunNumber) -> Self {
+        Observation { run_time, worker: worker.to_owned(), run, is_suspect: false }
     }
 }
 
@@ -90,11 +90,11 @@
     /// Resources that are being released for the group.
     pub claim: Option<Claim>,
     /// Time since which the group waits.
-    pub since: Duration,
+    pub waiting_since: Duration,
     /// Time since which the group waits because of earlier starts that may still be carried out.
-    pub held: Option<Duration>,
+    pub blocked_since: Option<Duration>,
     /// Run time as observed in earlier runs.
-    pub shown: Option<Shown>,
+    pub observation: Option<Observation>,
 }
 
 impl Group {
@@ -108,36 +108,36 @@
             checkpoint: String::new(),
             avoid: Vec::new(),
             claim: None,
-            since: now,
-            held: None,
-            shown: None,
+            waiting_since: now,
+            blocked_since: None,
+            observation: None,
         }
     }
 
     /// Records the run time that was observed in a run.
-    pub fn note_shown(&mut self, shown: Shown) {
-        let Some(known) = &mut self.shown else {
-            self.shown = Some(shown);
+    pub fn record_observation(&mut self, observation: Observation) {
+        let Some(known) = &mut self.observation else {
+            self.observation = Some(observation);
             return;
         };
         // Two slow workers in succession are unlikely: the task itself is long.
-        let is_same = known.run == shown.run || known.worker == shown.worker;
-        let is_doubted = known.is_doubted && shown.is_doubted && is_same;
-        if shown.whole < known.whole {
-            *known = shown;
+        let is_same = known.run == observation.run || known.worker == observation.worker;
+        let is_suspect = known.is_suspect && observation.is_suspect && is_same;
+        if observation.run_time < known.run_time {
+            *known = observation;
         }
-        known.is_doubted = is_doubted;
+        known.is_suspect = is_suspect;
     }
 
     /// Returns the observed run time, unless it may be due to a slow worker.
-    pub fn known(&self) -> Option<&Shown> {
-        self.shown.as_ref().filter(|shown| !shown.is_doubted)
+    pub fn reliable_observation(&self) -> Option<&Observation> {
+        self.observation.as_ref().filter(|observation| !observation.is_suspect)
     }
 
     /// Returns the run time in milliseconds once the group is done, else 0.
     pub fn took_ms(&self) -> u64 {
-        let shown = self.shown.as_ref().filter(|_| self.phase == Phase::Done);
-        shown.map_or(0, |shown| u64::try_from(shown.whole.as_millis()).unwrap_or(u64::MAX))
+        let known = self.observation.as_ref().filter(|_| self.phase == Phase::Done);
+        known.map_or(0, |known| u64::try_from(known.run_time.as_millis()).unwrap_or(u64::MAX))
     }
 
     /// Returns whether the group has reached a final state.
--- a/crates/planner/src/handover.rs
+++ b/crates/planner/src/handover.rs
@@ -1,4 +1,4 @@
-//! Record of unanswered starts that a planner leaves to its successor.
+//! Handover record: unanswered starts that a planner leaves to its successor.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -18,12 +18,12 @@
     /// Guards against a task that runs twice: only an agent and the planner know of its start, and
     /// the processes of both may be lost before the start expires.
     pub(crate) fn write_unanswered(&mut self, now: Moment) {
-        let is_busy = self.handover.is_writing || now.steady < self.handover.next;
+        let is_busy = self.handover.is_writing || now.steady < self.handover.next_write;
         if is_busy || !self.startup.is_serving() || !self.unanswered.is_dirty() {
             return;
         }
         self.handover.is_writing = true;
-        self.handover.next = now.steady + options::GATHER;
+        self.handover.next_write = now.steady + options::WRITE_DELAY;
         let conditions = vec![
             Condition { key: keys::LEAD.to_owned(), revision: self.term },
             Condition { key: keys::UNANSWERED.to_owned(), revision: self.handover.revision },
@@ -31,17 +31,17 @@
         let value = Bytes::from(self.unanswered.record(now).encode_to_vec());
         let puts = vec![Put { key: keys::UNANSWERED.to_owned(), value, lease: None }];
         let call = Call::Commit { conditions, puts, removes: Vec::new() };
-        self.out.push(Effect::Store(Operation::Unanswered, call));
+        self.effects.push(Effect::Store(Operation::Unanswered, call));
     }
 
-    /// Handles the reply to a write of the unanswered starts.
+    /// Handles the reply to a write of the handover record.
     pub(crate) fn unanswered_written(&mut self, now: Moment, reply: Reply) {
         self.handover.is_writing = false;
         if let Reply::Committed(revision) = reply {
             self.handover.revision = revision;
             return;
         }
-        self.unanswered.forget_record();
+        self.unanswered.invalidate_record();
         if let Reply::Refused(items) = reply {
             // An earlier write of this term, whose reply was lost, has been carried out.
             if !self.is_deposed_by(&items) {
@@ -49,16 +49,16 @@
                 self.handover.revision = found.map_or(0, |item| item.revision);
             }
         } else {
-            self.handover.next = now.steady + options::GATHER;
+            self.handover.next_write = now.steady + options::WRITE_DELAY;
         }
     }
 
-    /// Loads the record of the previous planner.
+    /// Loads the handover record of the previous planner.
     pub(crate) fn load_unanswered(&mut self, now: Moment, value: &Bytes, revision: Revision) {
         self.handover.revision = revision;
         match UnansweredStarts::decode(&value[..]) {
             Ok(starts) => self.unanswered.restore(now, starts),
-            Err(error) => self.log(format!("unanswered starts can't be read: {error}")),
+            Err(error) => self.log(format!("unanswered starts can't be decoded: {error}")),
         }
     }
 }
--- a/crates/planner/src/intake.rs
+++ b/crates/planner/src/intake.rs
@@ -18,14 +18,14 @@
 };
 
 impl Planner {
-    pub(crate) fn notice(&mut self, now: Moment, notice: Notice) {
+    pub(crate) fn handle_notice(&mut self, now: Moment, notice: Notice) {
         if !self.startup.is_serving() {
             // The entry sends the notice again, and the scan in progress may contain the job
             // already.
             return;
         }
         for job in notice.jobs {
-            self.told(now, job);
+            self.accept_notified(now, job);
         }
         for id in notice.cancelled {
             self.cancel(now, &id);
@@ -37,11 +37,14 @@
     /// Guards against an entry that dies after it has written a job and before it notifies the
     /// planner: the job's caller was told that it is accepted, and without this read it would never
     /// start.
-    pub(crate) fn ask_intake(&mut self, now: Moment) {
-        if !self.startup.is_serving() || self.intake.is_asking || now.steady < self.intake.next {
+    pub(crate) fn read_intake(&mut self, now: Moment) {
+        if !self.startup.is_serving()
+            || self.intake.is_reading
+            || now.steady < self.intake.next_read
+        {
             return;
         }
-        self.intake.is_asking = true;
+        self.intake.is_reading = true;
         let prefix = keys::INTAKE.to_owned();
         let call = match &self.intake.scan {
             Some(scan) => Call::Scan { prefix, after: scan.after.clone(), may_be_stale: false },
@@ -50,22 +53,22 @@
                 Call::WatchPrefix { prefix, after: self.intake.revision, wait }
             }
         };
-        self.out.push(Effect::Store(Operation::Intake, call));
+        self.effects.push(Effect::Store(Operation::Intake, call));
     }
 
-    pub(crate) fn intake_read(&mut self, now: Moment, reply: Reply) {
-        self.intake.is_asking = false;
-        self.intake.next = now.steady + options::INTAKE_INTERVAL;
+    pub(crate) fn handle_intake(&mut self, now: Moment, reply: Reply) {
+        self.intake.is_reading = false;
+        self.intake.next_read = now.steady + options::INTAKE_INTERVAL;
         let items = match reply {
             Reply::Changes { items, revision } => {
                 self.intake.revision = revision.max(self.intake.revision);
                 items
             }
             Reply::HistoryGone => {
-                self.log("the store's history is gone; reading all that was handed in".to_owned());
+                self.log("the store's history is gone; reading all submissions again".to_owned());
                 self.intake.scan = Some(Scan::default());
-                self.intake.next = now.steady;
-                self.ask_intake(now);
+                self.intake.next_read = now.steady;
+                self.read_intake(now);
                 return;
             }
             Reply::Items { items, has_more, revision } => {
@@ -76,16 +79,18 @@
         };
         for item in items {
             let Some(value) = item.value else { continue };
-            match keys::read(&item.key) {
+            match keys::parse(&item.key) {
                 Key::Job(id) if !self.table.entries.contains_key(id) => {
                     match Job::decode(&value[..]) {
                         Ok(job) => {
-                            self.log(format!("job={id} found in the store; no entry told of it"));
-                            let handed_in = accept::handed_in(now, &job);
-                            self.accept(now, job, handed_in);
+                            self.log(format!(
+                                "job={id} found in the store without a notice from an entry"
+                            ));
+                            let submitted = accept::submission_time(now, &job);
+                            self.accept(now, job, submitted);
                         }
                         Err(error) => {
-                            self.log(format!("job={id} in the store can't be read: {error}"));
+                            self.log(format!("job={id} record can't be decoded: {error}"));
                         }
                     }
                 }
@@ -101,13 +106,13 @@
     /// while later pages are read is found only by watching from the revision of the first page.
     fn intake_page(&mut self, now: Moment, items: &[Item], has_more: bool, revision: Revision) {
         let Some(mut scan) = self.intake.scan.take() else { return };
-        let first = *scan.first.get_or_insert(revision);
+        let first = *scan.first_revision.get_or_insert(revision);
         match items.last().filter(|_| has_more) {
             Some(last) => {
                 scan.after.clone_from(&last.key);
                 self.intake.scan = Some(scan);
-                self.intake.next = now.steady;
-                self.ask_intake(now);
+                self.intake.next_read = now.steady;
+                self.read_intake(now);
             }
             None => self.intake.revision = self.intake.revision.max(first),
         }
--- a/crates/planner/src/keys.rs
+++ b/crates/planner/src/keys.rs
@@ -48,7 +48,7 @@
 }
 
 /// Parses a key.
-pub fn read(key: &str) -> Key<'_> {
+pub fn parse(key: &str) -> Key<'_> {
     if let Some(id) = key.strip_prefix(JOB) {
         Key::Job(id)
     } else if let Some(id) = key.strip_prefix(CANCEL) {
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -6,7 +6,6 @@
 //! the term in which it holds the leader key in the store.
 
 mod accept;
-mod board;
 mod commit;
 pub mod effect;
 mod ends;
@@ -16,19 +15,20 @@
 mod handover;
 mod intake;
 pub mod keys;
-mod ledger;
 pub mod load;
 pub mod options;
 mod pass;
-mod placing;
+mod placement;
 pub mod planner;
 mod polls;
+mod pool;
+mod queue;
+mod reconcile;
 mod reserve;
 mod startup;
 mod state;
 mod supply;
 pub mod table;
-mod terms;
 mod unanswered;
 mod urgent;
 mod watchdog;
--- a/crates/planner/src/options.rs
+++ b/crates/planner/src/options.rs
@@ -29,32 +29,32 @@
 
 /// Time without a poll after which a worker gets no new tasks. Agents poll at least every
 /// [`POLL_TIMEOUT`], so that one lost poll on a slow link does not reach this limit.
-pub const SILENCE: Duration = Duration::from_millis(1_300);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Maximum time for which an agent's poll is left unanswered. A shorter time detects lost workers
 /// sooner, a longer one costs fewer messages; the silence after which a worker gets no new tasks is
 /// about twice as long.
-pub const POLL_HOLD: Duration = Duration::from_millis(600);
+pub const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum time for which an entry's poll is left unanswered.
-pub const FEED_HOLD: Duration = Duration::from_millis(900);
+pub const FEED_TIMEOUT: Duration = Duration::from_millis(900);
 /// Allowance for message latency and for timers that fire late.
-pub const MARGIN: Duration = Duration::from_millis(300);
+pub const TIMING_MARGIN: Duration = Duration::from_millis(300);
 /// Maximum time for which a planner goes on after its leader lease has expired while no entry
 /// reaches the store. It exceeds the common outages of a few seconds. A successor waits for this
 /// time if an agent does not answer.
 pub const OUTAGE: Duration = Duration::from_secs(5);
 /// Time for which progress may wait to be written together with other progress, unless it completes
 /// a job.
-pub const GATHER: Duration = Duration::from_millis(250);
+pub const WRITE_DELAY: Duration = Duration::from_millis(250);
 /// Time for which checkpoints may wait to be written together. A loss of power costs at most this
 /// much work in addition.
-pub const GATHER_CHECKPOINTS: Duration = Duration::from_millis(2_000);
+pub const CHECKPOINT_WRITE_DELAY: Duration = Duration::from_millis(2_000);
 /// Time after which an unanswered start can no longer be carried out: 12 seconds after it was sent,
 /// as the platform specifies, and a margin.
-pub const LATEST_START: Duration = Duration::from_millis(12_300);
+pub const START_EXPIRY: Duration = Duration::from_millis(12_300);
 /// Assumed maximum difference between the wall clocks of two machines.
-pub const CLOCK_SKEW: Duration = Duration::from_millis(2_000);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_millis(2_000);
 /// Delay before a failed write is retried.
-pub const RETRY: Duration = Duration::from_millis(100);
+pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Interval at which the store is read for jobs that no entry has notified the planner of. This is
 /// rare: their entry died between the write and the notice.
 pub const INTAKE_INTERVAL: Duration = Duration::from_millis(2_500);
@@ -65,16 +65,16 @@
 
 impl Options {
     /// Returns the time after an agent's poll at which its minion's lease has certainly expired.
-    pub fn lapse(&self) -> Duration {
-        self.lapse_of(self.lease)
+    pub fn lease_expiry(&self) -> Duration {
+        self.expiry_of(self.lease)
     }
 
     /// Returns the time from now at which any lease that a minion holds now has certainly expired.
-    pub fn longest_lapse(&self) -> Duration {
-        self.lapse_of(self.longest_lease.max(self.lease))
+    pub fn longest_lease_expiry(&self) -> Duration {
+        self.expiry_of(self.longest_lease.max(self.lease))
     }
 
-    fn lapse_of(&self, lease: Duration) -> Duration {
-        lease + lease * self.clock_drift_milli / 1_000 + MARGIN
+    fn expiry_of(&self, lease: Duration) -> Duration {
+        lease + lease * self.clock_drift_milli / 1_000 + TIMING_MARGIN
     }
 }
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -19,21 +19,21 @@
 };
 
 use crate::{
-    board::Board, event::Moment, group::Phase, planner::Planner, table::Entry, urgent::Urgent,
+    event::Moment, group::Phase, planner::Planner, pool::Pool, table::Entry, urgent::Urgent,
     worker::Worker,
 };
 
 /// Fraction of the reclaim deadline after which a guaranteed job also starts where it is slower.
-const URGENT_SHARE: f64 = 0.6;
+const REMOTE_START_SHARE: f64 = 0.6;
 /// Maximum number of idle workers that are reserved for urgent work, and left free by work that
 /// would lose progress if it were stopped and that can wait.
-const SPARED: usize = 2;
+const MAX_RESERVED_WORKERS: usize = 2;
 /// Number of workers for each reserved one, so that a small fleet is not left idle.
-const SPARED_OF: usize = 5;
+const WORKERS_PER_RESERVED: usize = 5;
 /// Factor by which work that is not urgent waits longer for a place at full speed.
-const PATIENT_FAR: u32 = 4;
+const REMOTE_WAIT_FACTOR: u32 = 4;
 /// Remaining slack below which a job no longer waits for a better place.
-const PATIENCE: Duration = Duration::from_millis(2_000);
+const WAIT_MARGIN: Duration = Duration::from_millis(2_000);
 
 /// A group that waits.
 struct Waiting {
@@ -44,7 +44,7 @@
 impl Waiting {
     /// Returns whether both groups wait for the same resources: they belong to the same step of the
     /// same job.
-    fn is_sibling(&self, other: &Waiting) -> bool {
+    fn is_same_step(&self, other: &Waiting) -> bool {
         self.job == other.job
             && self.key.step == other.key.step
             && self.key.occurrence == other.key.occurrence
@@ -54,10 +54,10 @@
 /// Result of the attempt to place a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    /// The group starts, or resources are set aside for it.
+    /// The group starts, or resources are claimed for it.
     Served,
     /// There are no resources for it, nor for the other groups of its step.
-    NoRoom,
+    NoResources,
     /// It waits for a reason that concerns only itself.
     Waits,
 }
@@ -68,23 +68,23 @@
         let guaranteed = self.guaranteed_jobs();
         let waiting = self.waiting(now, &guaranteed);
         self.load.waiting = waiting.len();
-        let mut boards: BTreeMap<String, Board> = BTreeMap::new();
-        let mut stuck: Option<&Waiting> = None;
+        let mut pools: BTreeMap<String, Pool> = BTreeMap::new();
+        let mut unplaced: Option<&Waiting> = None;
         for group in &waiting {
-            if stuck.is_some_and(|stuck| stuck.is_sibling(group)) {
+            if unplaced.is_some_and(|unplaced| unplaced.is_same_step(group)) {
                 // Free resources only shrink within a pass, so one search serves all waiting tasks
                 // of a step.
                 continue;
             }
             let Some(entry) = self.table.entries.get(&*group.job) else { continue };
             let service = self.service(entry);
-            if !boards.contains_key(service) {
-                boards.insert(service.to_owned(), self.board(now, service));
+            if !pools.contains_key(service) {
+                pools.insert(service.to_owned(), self.pool(now, service));
             }
-            let board = boards.get_mut(service).expect("inserted above");
+            let pool = pools.get_mut(service).expect("inserted above");
             self.load.tried += 1;
-            let outcome = self.try_group(now, board, group, &guaranteed);
-            stuck = (outcome == Outcome::NoRoom).then_some(group);
+            let outcome = self.try_group(now, pool, group, &guaranteed);
+            unplaced = (outcome == Outcome::NoResources).then_some(group);
         }
     }
 
@@ -93,17 +93,18 @@
     fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut urgent: Vec<&Entry> = (self.table.open.iter())
             .filter_map(|id| self.table.entries.get(id))
-            .filter(|entry| self.terms(entry).priority == 0)
+            .filter(|entry| self.queue_settings(entry).priority == 0)
             .collect();
         urgent.sort_by_key(|entry| (entry.job.accepted_ms, entry.job.id.clone()));
         let mut taken: BTreeMap<&str, u64> = BTreeMap::new();
         let mut covered = BTreeSet::new();
         for entry in urgent {
             let name = entry.job.organisation.as_str();
-            let owned = self.catalog.organisation(name);
-            let most = owned.map_or(0, |owned| u64::from(owned.guaranteed_accelerators));
+            let organisation = self.catalog.organisation(name);
+            let limit = organisation
+                .map_or(0, |organisation| u64::from(organisation.guaranteed_accelerators));
             let sum = taken.entry(name).or_default();
-            if *sum + entry.accelerators() <= most {
+            if *sum + entry.accelerators() <= limit {
                 *sum += entry.accelerators();
                 covered.insert(entry.job.id.clone());
             }
@@ -116,7 +117,7 @@
         let mut jobs = Vec::new();
         for id in &self.table.open {
             let Some(entry) = self.table.entries.get(id) else { continue };
-            if entry.is_inherited && !self.startup.is_settled() {
+            if entry.is_inherited && !self.startup.is_recovered() {
                 // A run that an earlier planner ordered may still begin.
                 continue;
             }
@@ -139,17 +140,17 @@
 
     fn job_rank(&self, now: Moment, entry: &Entry, is_guaranteed: bool) -> rank::Job {
         rank::Job {
-            priority: self.terms(entry).priority,
+            priority: self.queue_settings(entry).priority,
             is_guaranteed,
             age: Self::age(entry, now),
             objective: self.objective(entry),
-            remaining: entry.remaining(|step| self.expect(entry, step)),
+            remaining: entry.remaining_path(|step| self.expected_run_time(entry, step)),
             work: sapphire_jobs::length::work(&entry.job.steps),
             may_press: self.options.policy.prefer_pressing,
         }
     }
 
-    fn ask(&self, entry: &Entry, key: &GroupKey) -> Option<Ask> {
+    fn demand(&self, entry: &Entry, key: &GroupKey) -> Option<Ask> {
         let step = entry.step(key.step)?;
         let group = entry.groups.get(key)?;
         Some(Ask {
@@ -159,7 +160,11 @@
             near_rack: step.near_rack.clone(),
             wants_one_rack: step.is_gang && step.wants_one_rack,
             per_worker: step.per_worker,
-            present: if step.per_worker > 0 { self.present(entry, key) } else { BTreeMap::new() },
+            present: if step.per_worker > 0 {
+                self.count_present(entry, key)
+            } else {
+                BTreeMap::new()
+            },
             bound: BTreeMap::new(),
             avoid: group.avoid.clone(),
         })
@@ -169,9 +174,9 @@
     ///
     /// Guards against more tasks of a step on a worker than its job allows: a task that is being
     /// stopped, or that no planner wanted there, is still present.
-    fn present(&self, entry: &Entry, key: &GroupKey) -> BTreeMap<WorkerName, u32> {
+    fn count_present(&self, entry: &Entry, key: &GroupKey) -> BTreeMap<WorkerName, u32> {
         let first = GroupKey { index: 0, ..*key };
-        let tasks = members(&entry.job.id, &first, u32::MAX);
+        let tasks = group_tasks(&entry.job.id, &first, u32::MAX);
         let count = |(name, worker): (&WorkerName, &Worker)| {
             let count = worker.runs.range::<Task, _>(&tasks.start..&tasks.end).count();
             (count > 0).then(|| (name.clone(), u32::try_from(count).unwrap_or(u32::MAX)))
@@ -182,72 +187,81 @@
     fn try_group(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         waiting: &Waiting,
         guaranteed: &BTreeSet<JobId>,
     ) -> Outcome {
         let Waiting { job: id, key } = waiting;
         let id: &str = id;
         let Some(entry) = self.table.entries.get(id) else { return Outcome::Waits };
-        let Some(mut ask) = self.ask(entry, key) else { return Outcome::Waits };
-        match self.bound(id, key, ask.tasks) {
-            Some(bound) => ask.bound = bound,
+        let Some(mut demand) = self.demand(entry, key) else { return Outcome::Waits };
+        match self.bound_workers(id, key, demand.tasks) {
+            Some(bound) => demand.bound = bound,
             None => {
-                self.hold_back(now, id, key);
+                self.mark_blocked(now, id, key);
                 return Outcome::Waits;
             }
         }
         let is_guaranteed = guaranteed.contains(id);
-        let priority = self.terms(entry).priority;
-        let reach = self.reach(now, board, entry, key, &ask, is_guaranteed);
-        let places = self.open_places(now, board, entry, key, &ask);
-        let seats = seat::seat(&places, &ask, reach);
-        if let Some(seats) = seats {
-            if self.is_still_there(id, key, ask.tasks) {
+        let priority = self.queue_settings(entry).priority;
+        let reach = self.reach(now, pool, entry, key, &demand, is_guaranteed);
+        let places = self.available_places(now, pool, entry, key, &demand);
+        let assignments = seat::seat(&places, &demand, reach);
+        if let Some(assignments) = assignments {
+            if self.may_still_run(id, key, demand.tasks) {
                 return Outcome::Waits;
             }
-            self.place(now, board, id, key, &ask, &seats);
+            self.place(now, pool, id, key, &demand, &assignments);
             return Outcome::Served;
         }
         // Resources are released only for urgent work, and only on workers that the group may use.
-        let is_closed = ask.bound.values().any(|name| !board.index.contains_key(name));
-        if is_closed || (priority > 0 && !ask.bound.is_empty()) {
-            self.hold_back(now, id, key);
+        let is_closed = demand.bound.values().any(|name| !pool.index.contains_key(name));
+        if is_closed || (priority > 0 && !demand.bound.is_empty()) {
+            self.mark_blocked(now, id, key);
             return Outcome::Waits;
         }
-        let group = entry.groups.get(key).expect("asked for above");
-        let urgent = Urgent { id, key, ask: &ask, reach, is_guaranteed };
+        let group = entry.groups.get(key).expect("looked up above");
+        let urgent = Urgent { id, key, demand: &demand, reach, is_guaranteed };
         if let Some(claim) = group.claim.clone() {
             if now.steady < claim.until {
-                board.take_claim(&claim, &ask);
+                pool.apply_claim(&claim, &demand);
                 return Outcome::Served;
             }
-            self.force_room(now, board, &urgent, guaranteed);
+            self.force_resources(now, pool, &urgent, guaranteed);
             return Outcome::Waits;
         }
         if priority == 0 {
-            if !is_guaranteed && !self.needs_more(now, id, key) {
+            if !is_guaranteed && !self.needs_more_tasks(now, id, key) {
                 return Outcome::Waits;
             }
-            self.make_room(now, board, &urgent, guaranteed);
+            self.free_resources(now, pool, &urgent, guaranteed);
             return Outcome::Waits;
         }
-        self.reserve(now, board, &ask, reach, guaranteed);
+        self.reserve(now, pool, &demand, reach, guaranteed);
         // Other groups of the step that have waited longer may also run where they are slower, and
         // they may use workers that this one avoids because it failed there.
-        let is_like_siblings = reach == Reach::Far || ask.near_rack.is_empty();
-        if is_like_siblings && ask.avoid.is_empty() { Outcome::NoRoom } else { Outcome::Waits }
+        let is_like_its_step = reach == Reach::Far || demand.near_rack.is_empty();
+        if is_like_its_step && demand.avoid.is_empty() {
+            Outcome::NoResources
+        } else {
+            Outcome::Waits
+        }
     }
 
     /// Returns the workers that tasks of a group are bound to, by index in the group, because those
     /// workers may still carry out an earlier start of the task. Returns `None` if two workers may.
-    fn bound(&self, id: &str, key: &GroupKey, tasks: u32) -> Option<BTreeMap<u32, WorkerName>> {
+    fn bound_workers(
+        &self,
+        id: &str,
+        key: &GroupKey,
+        tasks: u32,
+    ) -> Option<BTreeMap<u32, WorkerName>> {
         let mut bound = BTreeMap::new();
         if self.unanswered.is_empty() {
             return Some(bound);
         }
-        let members = members(id, key, tasks);
-        for (task, mut names) in self.unanswered.range(&members.start..&members.end) {
+        let tasks_of_group = group_tasks(id, key, tasks);
+        for (task, mut names) in self.unanswered.range(&tasks_of_group.start..&tasks_of_group.end) {
             bound.extend(names.next().map(|name| (task.index - key.index, name.clone())));
             if names.next().is_some() {
                 return None;
@@ -258,11 +272,11 @@
 
     /// Records that a group waits until earlier starts of it expire, or until the workers that they
     /// were sent to have free resources.
-    fn hold_back(&mut self, now: Moment, id: &str, key: &GroupKey) {
+    fn mark_blocked(&mut self, now: Moment, id: &str, key: &GroupKey) {
         let entry = self.table.entries.get_mut(id);
         let Some(group) = entry.and_then(|entry| entry.groups.get_mut(key)) else { return };
-        if group.held.is_none() {
-            group.held = Some(now.steady);
+        if group.blocked_since.is_none() {
+            group.blocked_since = Some(now.steady);
             let GroupKey { step, index, .. } = key;
             self.log(format!("job={id} step={step} index={index} waits for unanswered starts"));
         }
@@ -273,37 +287,41 @@
     /// Guards against two simultaneous runs of one task: during a take-over a gang can end by the
     /// members that have been reported so far. A member that is reported last is still being
     /// stopped when the gang would start again.
-    fn is_still_there(&self, id: &str, key: &GroupKey, tasks: u32) -> bool {
-        let members = members(id, key, tasks);
+    fn may_still_run(&self, id: &str, key: &GroupKey, tasks: u32) -> bool {
+        let tasks_of_group = group_tasks(id, key, tasks);
         self.workers.values().any(|worker| {
-            worker.runs.range::<Task, _>(&members.start..&members.end).next().is_some()
+            worker
+                .runs
+                .range::<Task, _>(&tasks_of_group.start..&tasks_of_group.end)
+                .next()
+                .is_some()
         })
     }
 
     /// Returns the places that a group may use now.
-    fn open_places<'a>(
+    fn available_places<'a>(
         &self,
         now: Moment,
-        board: &'a Board,
+        pool: &'a Pool,
         entry: &Entry,
         key: &GroupKey,
-        ask: &Ask,
+        demand: &Ask,
     ) -> Cow<'a, [Place]> {
-        if self.terms(entry).priority > 0
-            && let Some(others) = self.unavoided(now, board, entry, key, ask)
+        if self.queue_settings(entry).priority > 0
+            && let Some(others) = self.without_avoided(now, pool, entry, key, demand)
         {
             return Cow::Owned(others);
         }
-        if self.terms(entry).priority > 0
-            && let Some(open) = board.open(self.longest_run(entry, key))
+        if self.queue_settings(entry).priority > 0
+            && let Some(open) = pool.open(self.upper_run_time(entry, key))
         {
             return Cow::Owned(open);
         }
         if self.options.policy.spare_workers && self.can_wait(now, entry, key) {
-            let keep = SPARED.min(board.places.len() / SPARED_OF);
-            return Cow::Owned(seat::spare(&board.places, keep));
+            let keep = MAX_RESERVED_WORKERS.min(pool.places.len() / WORKERS_PER_RESERVED);
+            return Cow::Owned(seat::spare(&pool.places, keep));
         }
-        Cow::Borrowed(&board.places)
+        Cow::Borrowed(&pool.places)
     }
 
     /// Returns the places without the workers on which a group failed or was too slow, as long as
@@ -311,40 +329,41 @@
     ///
     /// Guards against a gang that is moved off a slow worker and placed on it again at once because
     /// nothing else is free: all its members would again run at the pace of that worker.
-    fn unavoided(
+    fn without_avoided(
         &self,
         now: Moment,
-        board: &Board,
+        pool: &Pool,
         entry: &Entry,
         key: &GroupKey,
-        ask: &Ask,
+        demand: &Ask,
     ) -> Option<Vec<Place>> {
         let group = entry.groups.get(key)?;
-        let patience = self.expect(entry, key.step);
-        if group.avoid.is_empty() || now.steady >= group.since + patience {
+        let wait_limit = self.expected_run_time(entry, key.step);
+        if group.avoid.is_empty() || now.steady >= group.waiting_since + wait_limit {
             return None;
         }
         let is_avoided = |place: &Place| group.avoid.iter().any(|name| **name == *place.worker);
-        let others = || board.places.iter().filter(|place| !is_avoided(place)).cloned();
+        let others = || pool.places.iter().filter(|place| !is_avoided(place)).cloned();
         let empty: Vec<Place> =
             others().map(|place| Place { free: place.capacity, ..place }).collect();
-        seat::seat(&empty, ask, Reach::Far)?;
-        let close = |place: &Place| {
+        seat::seat(&empty, demand, Reach::Far)?;
+        let closed = |place: &Place| {
             let free = if is_avoided(place) { Room::default() } else { place.free };
             Place { free, ..place.clone() }
         };
-        Some(board.places.iter().map(close).collect())
+        Some(pool.places.iter().map(closed).collect())
     }
 
     /// Returns whether a group would lose work if it were stopped, and has time to wait for a place
     /// where urgent work will not need to stop it.
     fn can_wait(&self, now: Moment, entry: &Entry, key: &GroupKey) -> bool {
         let saves = entry.step(key.step).is_some_and(|step| step.checkpoints);
-        if self.terms(entry).priority == 0 || saves {
+        if self.queue_settings(entry).priority == 0 || saves {
             return false;
         }
-        let end = Self::age(entry, now) + entry.remaining(|step| self.expect(entry, step));
-        end + PATIENCE < self.objective(entry)
+        let end = Self::age(entry, now)
+            + entry.remaining_path(|step| self.expected_run_time(entry, step));
+        end + WAIT_MARGIN < self.objective(entry)
     }
 
     /// Decides whether a group may run where it is slower: if it never fits elsewhere, if it has
@@ -352,35 +371,39 @@
     fn reach(
         &self,
         now: Moment,
-        board: &Board,
+        pool: &Pool,
         entry: &Entry,
         key: &GroupKey,
-        ask: &Ask,
+        demand: &Ask,
         is_guaranteed: bool,
     ) -> Reach {
-        let is_anywhere = !ask.wants_one_rack && ask.near_rack.is_empty();
-        if is_anywhere || !self.options.policy.wait_for_rack {
+        let is_unconstrained = !demand.wants_one_rack && demand.near_rack.is_empty();
+        if is_unconstrained || !self.options.policy.wait_for_rack {
             return Reach::Far;
         }
         let group = entry.groups.get(key).expect("the caller has looked it up");
-        let waited = now.steady.saturating_sub(group.since);
-        let expected = self.expect(entry, key.step);
+        let waited = now.steady.saturating_sub(group.waiting_since);
+        let expected = self.expected_run_time(entry, key.step);
         let extra = expected * self.options.remote_factor.saturating_sub(1);
-        let is_urgent =
-            is_guaranteed && Self::age(entry, now) >= self.options.reclaim.mul_f64(URGENT_SHARE);
+        let is_urgent = is_guaranteed
+            && Self::age(entry, now) >= self.options.reclaim.mul_f64(REMOTE_START_SHARE);
         let fits_near = || {
-            let empty = |place: &Place| Place { free: place.capacity, ..place.clone() };
-            let places: Vec<Place> = board.places.iter().map(empty).collect();
-            seat::seat(&places, ask, Reach::Near).is_some()
+            let emptied = |place: &Place| Place { free: place.capacity, ..place.clone() };
+            let places: Vec<Place> = pool.places.iter().map(emptied).collect();
+            seat::seat(&places, demand, Reach::Near).is_some()
         };
         // A slower run takes resources from everybody for longer, which only urgent work justifies.
-        let extra = if self.terms(entry).priority == 0 { extra } else { extra * PATIENT_FAR };
+        let extra = if self.queue_settings(entry).priority == 0 {
+            extra
+        } else {
+            extra * REMOTE_WAIT_FACTOR
+        };
         if waited >= extra || is_urgent || !fits_near() { Reach::Far } else { Reach::Near }
     }
 }
 
 /// Returns the range of the tasks of a group.
-fn members(id: &str, key: &GroupKey, tasks: u32) -> Range<Task> {
+fn group_tasks(id: &str, key: &GroupKey, tasks: u32) -> Range<Task> {
     let task =
         |index| Task { job: id.to_owned(), occurrence: key.occurrence, step: key.step, index };
     task(key.index)..task(key.index.saturating_add(tasks))
--- a/crates/planner/src/placing.rs
+++ b/crates/planner/src/placement.rs
@@ -6,11 +6,11 @@
 use sapphire_plan::seat::{Ask, Seat};
 
 use crate::{
-    board::Board,
     event::Moment,
-    group::{Active, Phase, Seats},
+    group::{Active, Assignments, Phase},
     options,
     planner::Planner,
+    pool::Pool,
     worker::{self, Run},
 };
 
@@ -19,36 +19,36 @@
     pub(crate) fn place(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         id: &str,
         key: &GroupKey,
-        ask: &Ask,
+        demand: &Ask,
         seats: &[Seat],
     ) {
-        let first = (self.startup.terms - 1) * options::RUNS_PER_TERM + 1;
+        let first = (self.startup.term_number - 1) * options::RUNS_PER_TERM + 1;
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         let Some(group) = entry.groups.get_mut(key) else { return };
-        let left = take(board, key.index, ask, seats);
-        let is_far = is_far(board, ask, seats);
+        let unfinished = allocate(pool, key.index, demand, seats);
+        let is_remote = is_remote(pool, demand, seats);
         let number = first.max(group.run + 1);
-        let waited = now.steady.saturating_sub(group.since).as_millis();
+        let waited = now.steady.saturating_sub(group.waiting_since).as_millis();
         group.run = number;
         group.claim = None;
-        let held = group.held.take();
+        let blocked_since = group.blocked_since.take();
         group.phase = Phase::Active(Active {
-            since: now.steady,
+            ordered_at: now.steady,
             began: None,
-            left: left.clone(),
+            unfinished: unfinished.clone(),
             is_stopping: false,
-            is_far,
+            is_remote,
             checkpoint: group.checkpoint.clone(),
         });
-        self.order(now, id, key, ask, number, &left);
+        self.order(now, id, key, demand, number, &unfinished);
         let expected = self.table.entries.get(id).map(|entry| self.estimate(entry, key.step));
         let expected = expected.unwrap_or_default();
-        let names: Vec<&str> = left.values().map(String::as_str).collect();
+        let names: Vec<&str> = unfinished.values().map(String::as_str).collect();
         self.log(format!(
-            "job={id} step={} index={} run={number} placed on={} waited_ms={waited} far={is_far} \
+            "job={id} step={} index={} run={number} placed on={} waited_ms={waited} far={is_remote} \
              expected_ms={} spread={:.2}",
             key.step,
             key.index,
@@ -56,10 +56,10 @@
             expected.centre.as_millis(),
             expected.spread
         ));
-        if let Some(since) = held {
-            let held = now.steady.saturating_sub(since).as_millis();
+        if let Some(since) = blocked_since {
+            let blocked_ms = now.steady.saturating_sub(since).as_millis();
             self.log(format!(
-                "job={id} step={} index={} run={number} waited {held} ms for unanswered starts",
+                "job={id} step={} index={} run={number} waited {blocked_ms} ms for unanswered starts",
                 key.step, key.index
             ));
         }
@@ -72,15 +72,15 @@
         now: Moment,
         id: &str,
         key: &GroupKey,
-        ask: &Ask,
+        demand: &Ask,
         number: RunNumber,
-        left: &Seats,
+        unfinished: &Assignments,
     ) {
-        for (index, name) in left {
+        for (index, name) in unfinished {
             let (occurrence, step) = (key.occurrence, key.step);
             let task = Task { job: id.to_owned(), occurrence, step, index: *index };
             let Some(worker) = self.workers.get_mut(name) else { continue };
-            let run = Run::new(number, ask.room, worker::Phase::Ordered, 0, now.steady);
+            let run = Run::new(number, demand.room, worker::Phase::Ordered, 0, now.steady);
             worker.runs.insert(task, run);
         }
     }
@@ -88,29 +88,29 @@
 
 /// Allocates the resources of a group's tasks, which are numbered from `first`, and returns the
 /// worker of each.
-fn take(board: &mut Board, first: u32, ask: &Ask, seats: &[Seat]) -> Seats {
-    let mut left = BTreeMap::new();
-    let mut bound = ask.bound.clone();
-    let mut free = (0..ask.tasks).filter(|offset| !ask.bound.contains_key(offset));
+fn allocate(pool: &mut Pool, first: u32, demand: &Ask, seats: &[Seat]) -> Assignments {
+    let mut unfinished = BTreeMap::new();
+    let mut bound = demand.bound.clone();
+    let mut free = (0..demand.tasks).filter(|offset| !demand.bound.contains_key(offset));
     for seat in seats {
-        board.take_room(seat.place, ask.room.times(seat.tasks.into()));
-        let place = &board.places[seat.place];
+        pool.allocate(seat.place, demand.room.times(seat.tasks.into()));
+        let place = &pool.places[seat.place];
         for _ in 0..seat.tasks {
             let own = bound.iter().find(|(_, worker)| **worker == *place.worker);
             let own = own.map(|(offset, _)| *offset);
             let Some(offset) = own.or_else(|| free.next()) else { continue };
             bound.remove(&offset);
-            left.insert(first + offset, place.worker.to_string());
+            unfinished.insert(first + offset, place.worker.to_string());
         }
     }
-    left
+    unfinished
 }
 
 /// Returns whether a group would run away from its data, or on several racks although it wants one.
-fn is_far(board: &Board, ask: &Ask, seats: &[Seat]) -> bool {
-    let mut racks = seats.iter().map(|seat| &*board.places[seat.place].rack);
+fn is_remote(pool: &Pool, demand: &Ask, seats: &[Seat]) -> bool {
+    let mut racks = seats.iter().map(|seat| &*pool.places[seat.place].rack);
     let first = racks.clone().next();
-    let is_scattered = ask.wants_one_rack && racks.clone().any(|rack| Some(rack) != first);
-    let is_away = !ask.near_rack.is_empty() && racks.any(|rack| *rack != *ask.near_rack);
+    let is_scattered = demand.wants_one_rack && racks.clone().any(|rack| Some(rack) != first);
+    let is_away = !demand.near_rack.is_empty() && racks.any(|rack| *rack != *demand.near_rack);
     is_scattered || is_away
 }
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -22,9 +22,9 @@
     event::{Event, Moment},
     load::Load,
     options::{self, Options},
+    queue::Settings,
     state::{commits::Commits, feeds::Feeds, handover::Handover, intake::Intake, startup::Startup},
     table::{Entry, Table},
-    terms::Terms,
     unanswered,
     worker::{Cause, Phase, Stop, Worker},
 };
@@ -50,25 +50,25 @@
     pub(crate) early_cancels: BTreeSet<JobId>,
     /// Revision of the configuration that was last verified to be the newest, and the time of the
     /// verification.
-    pub(crate) proof: Option<(u64, Duration)>,
+    pub(crate) verified_catalog: Option<(u64, Duration)>,
     /// A change since the latest pass may allow a group to start.
     pub(crate) needs_pass: bool,
     pub(crate) last_pass: Duration,
     /// Time before which no pass begins.
     pub(crate) next_pass: Duration,
     pub(crate) load: Load,
-    pub(crate) last_watch: Duration,
+    pub(crate) last_check: Duration,
     pub(crate) last_supplies: Duration,
     /// Resources of the workers and open work, as reported to entries.
     pub(crate) supplies: Vec<Supply>,
     pub(crate) sessions: u64,
-    pub(crate) out: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
 }
 
 /// Maximum interval between two passes while groups wait.
 const PASS_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum pause after a pass, in multiples of its duration.
-const PASS_PAUSE: u32 = 2;
+/// Minimum delay after a pass, in multiples of its duration.
+const PASS_DELAY_FACTOR: u32 = 2;
 
 impl Planner {
     /// Creates the planner of a term and begins to read the store.
@@ -88,16 +88,16 @@
             unanswered: unanswered::Starts::default(),
             handover: Handover::default(),
             early_cancels: BTreeSet::new(),
-            proof: None,
+            verified_catalog: None,
             needs_pass: true,
             last_pass: Duration::ZERO,
             next_pass: Duration::ZERO,
             load: Load::default(),
-            last_watch: Duration::ZERO,
+            last_check: Duration::ZERO,
             last_supplies: Duration::ZERO,
             supplies: Vec::new(),
             sessions: 0,
-            out: Vec::new(),
+            effects: Vec::new(),
         };
         planner.begin();
         planner
@@ -139,16 +139,16 @@
     pub fn take(&mut self, now: Moment, event: Event) {
         self.load.events += 1;
         match event {
-            Event::Poll(asker, poll) => self.poll(now, asker, *poll),
-            Event::Feed(asker, poll) => self.feed_poll(now, asker, poll),
-            Event::Notice(notice) => self.notice(now, notice),
-            Event::Left(asker) => self.left(asker),
-            Event::Store(operation, reply) => self.stored(now, operation, reply),
+            Event::Poll(requester, poll) => self.handle_poll(now, requester, *poll),
+            Event::Feed(requester, poll) => self.handle_feed_poll(now, requester, poll),
+            Event::Notice(notice) => self.handle_notice(now, notice),
+            Event::Left(requester) => self.disconnected(requester),
+            Event::Store(operation, reply) => self.handle_reply(now, operation, reply),
             Event::Catalog(catalog) => {
                 self.catalog = catalog;
                 self.needs_pass = true;
             }
-            Event::Fresh { revision, at } => self.proof = Some((revision, at)),
+            Event::Fresh { revision, at } => self.verified_catalog = Some((revision, at)),
             Event::Tick => self.tick(now),
         }
     }
@@ -156,7 +156,7 @@
     /// Records the duration of the latest pass, which ended at `until`. On a processor that is too
     /// slow for a pass with each event, passes thus leave time for polls and callers.
     pub fn pass_took(&mut self, until: Duration, took: Duration) {
-        self.next_pass = until + took * PASS_PAUSE;
+        self.next_pass = until + took * PASS_DELAY_FACTOR;
     }
 
     fn tick(&mut self, now: Moment) {
@@ -164,12 +164,12 @@
         self.expire_workers(now);
         self.unanswered.expire(now.steady);
         self.watch_progress(now);
-        self.sum_supplies(now);
-        self.materialise(now);
-        self.forget_ended(now);
-        self.scan_again(now);
-        self.ask_intake(now);
-        self.check_settled(now);
+        self.update_supplies(now);
+        self.add_due_occurrences(now);
+        self.remove_ended(now);
+        self.retry_scan(now);
+        self.read_intake(now);
+        self.check_recovered(now);
         self.write_fleet();
         if now.steady >= self.last_pass + PASS_INTERVAL {
             self.needs_pass |= !self.table.open.is_empty();
@@ -189,18 +189,18 @@
         self.write_unanswered(now);
         self.answer_polls(now);
         self.answer_feeds(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     pub(crate) fn log(&mut self, text: String) {
-        self.out.push(Effect::Log(text));
+        self.effects.push(Effect::Log(text));
     }
 
     /// Returns the settings of a job's queue: as configured now, or as they were at the acceptance
     /// if the queue has been removed.
-    pub(crate) fn terms(&self, entry: &Entry) -> Terms {
+    pub(crate) fn queue_settings(&self, entry: &Entry) -> Settings {
         let job = &entry.job;
-        self.catalog.queue(&job.queue).map_or_else(|| Terms::accepted(job), Terms::of)
+        self.catalog.queue(&job.queue).map_or_else(|| Settings::accepted(job), Settings::of)
     }
 
     /// Returns the service whose minions run a job.
@@ -210,7 +210,7 @@
     }
 
     /// Returns the expected run time of a step's tasks.
-    pub(crate) fn expect(&self, entry: &Entry, step: u32) -> Duration {
+    pub(crate) fn expected_run_time(&self, entry: &Entry, step: u32) -> Duration {
         self.estimate(entry, step).centre
     }
 
@@ -224,28 +224,29 @@
         } else {
             Estimate::declared(declared)
         };
-        let seen = entry.seen.get(index as usize).copied().flatten();
-        of_kind.with_siblings(seen.filter(|_| policy.learn_siblings))
+        let sample = entry.step_samples.get(index as usize).copied().flatten();
+        of_kind.with_siblings(sample.filter(|_| policy.learn_siblings))
     }
 
     /// Returns the time from its submission within which a job should be complete.
     pub(crate) fn objective(&self, entry: &Entry) -> Duration {
-        let terms = self.terms(entry);
-        let chain = entry.chain(|step| self.expect(entry, step));
-        chain.mul_f64(terms.slack.max(1.0)) + terms.target_latency
+        let settings = self.queue_settings(entry);
+        let critical_path = entry.critical_path(|step| self.expected_run_time(entry, step));
+        critical_path.mul_f64(settings.slack.max(1.0)) + settings.target_latency
     }
 
     /// Returns the time since a job's submission.
     pub(crate) fn age(entry: &Entry, now: Moment) -> Duration {
-        now.steady.saturating_sub(entry.handed_in)
+        now.steady.saturating_sub(entry.submitted)
     }
 
     /// Adds the groups of occurrences that have become due.
-    fn materialise(&mut self, now: Moment) {
+    fn add_due_occurrences(&mut self, now: Moment) {
         let open: Vec<JobId> = self.table.open.iter().cloned().collect();
         for id in open {
             let Some(entry) = self.table.entries.get_mut(&id) else { continue };
-            if entry.next_due().is_some_and(|due| due <= now.unix) && entry.materialise(now) {
+            if entry.next_due().is_some_and(|due| due <= now.unix) && entry.add_due_occurrences(now)
+            {
                 self.needs_pass = true;
                 self.log(format!("job={id} occurrence due"));
             }
@@ -267,7 +268,7 @@
         if run.number == number && run.phase != Phase::Stopping {
             run.phase = Phase::Stopping;
             run.is_received = false;
-            run.stop.get_or_insert_with(|| Stop { cause: cause.clone(), since: now });
+            run.stop.get_or_insert_with(|| Stop { cause: cause.clone(), decided_at: now });
         }
     }
 
@@ -280,7 +281,7 @@
             group.claim = None;
             let Some(active) = group.active_mut() else { continue };
             active.is_stopping = true;
-            for (index, worker) in &active.left {
+            for (index, worker) in &active.unfinished {
                 let task = Task {
                     job: id.to_owned(),
                     occurrence: key.occurrence,
@@ -296,10 +297,11 @@
     }
 
     /// Removes jobs that ended long ago.
-    fn forget_ended(&mut self, now: Moment) {
-        let keep = self.options.status + options::FEED_HOLD;
+    fn remove_ended(&mut self, now: Moment) {
+        let retention = self.options.status + options::FEED_TIMEOUT;
         let is_old = |entry: &Entry| {
-            entry.ended.is_some_and(|ended| now.steady >= ended + keep) && entry.dirty.is_none()
+            entry.ended.is_some_and(|ended| now.steady >= ended + retention)
+                && entry.dirty.is_none()
         };
         let runs = |id: &str| {
             self.workers.values().any(|worker| worker.runs.keys().any(|task| task.job == id))
@@ -307,20 +309,20 @@
         let old: Vec<JobId> = (self.table.entries.iter())
             .filter(|(id, entry)| is_old(entry) && !runs(id))
             .map(|(id, _)| id.clone())
-            .take(FORGOTTEN_AT_ONCE)
+            .take(MAX_REMOVED_JOBS)
             .collect();
-        self.forget(old);
+        self.remove_jobs(old);
     }
 }
 
 /// Maximum number of jobs that one write removes: each has three keys, and the store takes 32 rows.
-const FORGOTTEN_AT_ONCE: usize = 8;
+const MAX_REMOVED_JOBS: usize = 8;
 
 /// Returns the kind of work under which run times of a step are learned.
 pub(crate) fn estimate_kind<'a>(
     entry: &'a Entry,
     step: &sapphire_jobs::Step,
 ) -> estimate::Kind<'a> {
-    let accelerators = step.room.as_ref().map_or(0, |room| room.accelerators).max(1);
+    let accelerators = step.room.as_ref().map_or(0, |resources| resources.accelerators).max(1);
     estimate::Kind { name: &entry.job.queue, size: accelerators.ilog2() }
 }
--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/pool.rs
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Candidates {
     /// The data by which groups are chosen.
-    of_plan: Vec<clear::Candidate>,
+    candidates: Vec<clear::Candidate>,
     /// Index of each group's job in `jobs`, and the group's key in that job.
     keys: Vec<(usize, GroupKey)>,
     jobs: Vec<JobId>,
@@ -37,7 +37,7 @@
 
 /// Workers of one service, with the resources that are still free in this pass, and the groups that
 /// may be stopped on them.
-pub(crate) struct Board {
+pub(crate) struct Pool {
     pub(crate) places: Vec<Place>,
     pub(crate) index: BTreeMap<WorkerName, usize>,
     /// Groups that may be stopped. Looked up when an urgent group first finds no free resources,
@@ -52,7 +52,7 @@
     pub(crate) reservations: Vec<Reservation>,
 }
 
-impl Board {
+impl Pool {
     /// Returns the job and the key of a candidate.
     pub(crate) fn candidate(&self, at: usize) -> (JobId, GroupKey) {
         let (job, key) = self.keys[at];
@@ -60,31 +60,32 @@
     }
 
     /// Allocates resources of a worker: its free ones first, then those that are reserved there.
-    pub(crate) fn take_room(&mut self, at: usize, room: Room) {
+    pub(crate) fn allocate(&mut self, at: usize, resources: Room) {
         let place = &mut self.places[at];
-        let mut of_kept = room.minus(place.free);
-        place.free = place.free.minus(room);
+        let mut from_reserved = resources.minus(place.free);
+        place.free = place.free.minus(resources);
         for reservation in &mut self.reservations {
-            of_kept = reservation.give(at, of_kept);
+            from_reserved = reservation.give(at, from_reserved);
         }
     }
 
     /// Returns the places as seen by work that runs for `time`: with the reserved resources that
     /// are needed only later. Returns `None` if nothing is reserved beyond that time.
     pub(crate) fn open(&self, time: Duration) -> Option<Vec<Place>> {
-        let mut open = self.reservations.iter().filter(|kept| kept.is_open(time)).peekable();
+        let mut open =
+            self.reservations.iter().filter(|reservation| reservation.is_open(time)).peekable();
         open.peek()?;
         let mut places = self.places.clone();
-        open.for_each(|kept| kept.open(&mut places));
+        open.for_each(|reservation| reservation.open(&mut places));
         Some(places)
     }
 
-    /// Sets aside the resources of a group that waits for them to be released.
-    pub(crate) fn take_claim(&mut self, claim: &Claim, ask: &Ask) {
-        for (name, tasks) in &claim.seats {
+    /// Deducts the resources claimed by a group that waits for them to be released.
+    pub(crate) fn apply_claim(&mut self, claim: &Claim, demand: &Ask) {
+        for (name, tasks) in &claim.assignments {
             if let Some(at) = self.index.get(name) {
                 let place = &mut self.places[*at];
-                let claimed = ask.room.times((*tasks).into());
+                let claimed = demand.room.times((*tasks).into());
                 place.owed = place.owed.plus(claimed.minus(place.free));
                 place.free = place.free.minus(claimed);
             }
@@ -93,12 +94,12 @@
 }
 
 impl Planner {
-    pub(crate) fn board(&self, now: Moment, service: &str) -> Board {
+    pub(crate) fn pool(&self, now: Moment, service: &str) -> Pool {
         let mut places = Vec::new();
         let mut index = BTreeMap::new();
         for (name, worker) in &self.workers {
             let Some(minion) = &worker.incarnation else { continue };
-            let doubt = match self.doubt(name, now.steady) {
+            let doubt = match self.suspicion(name, now.steady) {
                 Doubt::None => 0,
                 Doubt::Last => 1,
                 Doubt::Closed => continue,
@@ -118,7 +119,7 @@
                 doubt,
             });
         }
-        Board {
+        Pool {
             places,
             index,
             candidates: Vec::new(),
@@ -129,7 +130,7 @@
         }
     }
 
-    fn doubt(&self, name: &str, now: Duration) -> Doubt {
+    fn suspicion(&self, name: &str, now: Duration) -> Doubt {
         if self.options.policy.doubt_workers { self.suspects.doubt(name, now) } else { Doubt::None }
     }
 
@@ -137,13 +138,13 @@
     pub(crate) fn look_up_candidates(
         &self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        if !board.has_candidates {
-            let found = self.candidates(now, &board.index, guaranteed);
-            (board.candidates, board.keys, board.jobs) = (found.of_plan, found.keys, found.jobs);
-            board.has_candidates = true;
+        if !pool.has_candidates {
+            let found = self.candidates(now, &pool.index, guaranteed);
+            (pool.candidates, pool.keys, pool.jobs) = (found.candidates, found.keys, found.jobs);
+            pool.has_candidates = true;
         }
     }
 
@@ -162,7 +163,7 @@
             }
             let job = found.jobs.len();
             found.jobs.push(id.clone());
-            let priority = self.terms(entry).priority;
+            let priority = self.queue_settings(entry).priority;
             let objective = self.objective(entry);
             let is_guaranteed = guaranteed.contains(id);
             for (key, group) in &entry.groups {
@@ -171,16 +172,19 @@
                 if step.is_long_running {
                     continue;
                 }
-                let room = Room::read(step.room.as_ref());
-                let seats = active.left.values().filter_map(|name| Some((*index.get(name)?, room)));
+                let resources = Room::read(step.room.as_ref());
+                let released = active
+                    .unfinished
+                    .values()
+                    .filter_map(|name| Some((*index.get(name)?, resources)));
                 let remaining = self.remaining_run(now, entry, key, active);
                 let end = Self::age(entry, now).saturating_add(remaining);
                 let lateness = self.lateness(priority, objective.saturating_sub(end));
                 let cost = self.stop_cost(now, step, active) + lateness / running as f64;
-                let victim = evict::Victim { cost, seats: seats.collect() };
+                let victim = evict::Victim { cost, seats: released.collect() };
                 let is_stopping = active.is_stopping;
                 found.keys.push((job, *key));
-                found.of_plan.push(clear::Candidate {
+                found.candidates.push(clear::Candidate {
                     priority,
                     is_guaranteed,
                     is_stopping,
@@ -197,8 +201,8 @@
         if active.is_stopping {
             return 0.0;
         }
-        let ran = now.steady.saturating_sub(active.began.unwrap_or(active.since));
-        let cores = Room::read(step.room.as_ref()).weight() * active.left.len() as f64;
+        let ran = now.steady.saturating_sub(active.began.unwrap_or(active.ordered_at));
+        let cores = Room::read(step.room.as_ref()).weight() * active.unfinished.len() as f64;
         clear::loss(cores, ran, step.checkpoints)
     }
 
@@ -216,19 +220,22 @@
         key: &GroupKey,
         active: &Active,
     ) -> Duration {
-        let own = entry.groups.get(key).and_then(Group::known);
-        let expected = own.map_or_else(|| self.expect(entry, key.step), |shown| shown.whole);
+        let own = entry.groups.get(key).and_then(Group::reliable_observation);
+        let expected = own.map_or_else(
+            || self.expected_run_time(entry, key.step),
+            |observation| observation.run_time,
+        );
         let mut task = Task {
             job: entry.job.id.clone(),
             occurrence: key.occurrence,
             step: key.step,
             index: key.index,
         };
-        let of = |(index, name): (&u32, &WorkerName)| {
+        let remaining = |(index, name): (&u32, &WorkerName)| {
             task.index = *index;
             let run = self.workers.get(name)?.runs.get(&task)?;
             Some(run.remaining(expected, now.steady))
         };
-        active.left.iter().filter_map(of).max().unwrap_or(Duration::MAX)
+        active.unfinished.iter().filter_map(remaining).max().unwrap_or(Duration::MAX)
     }
 }
--- a/crates/planner/src/terms.rs
+++ b/crates/planner/src/queue.rs
@@ -6,7 +6,7 @@
 
 /// Settings of a queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Terms {
+pub(crate) struct Settings {
     /// Priority; jobs of priority 0 go first.
     pub(crate) priority: u32,
     /// Maximum number of failed runs of a task before its job fails.
@@ -17,10 +17,10 @@
     pub(crate) target_latency: Duration,
 }
 
-impl Terms {
+impl Settings {
     /// Returns the settings as configured.
     pub(crate) fn of(queue: &Queue) -> Self {
-        Terms {
+        Settings {
             priority: queue.priority,
             max_attempts: queue.max_attempts,
             slack: queue.slack,
@@ -30,7 +30,7 @@
 
     /// Returns the settings at the acceptance of a job, for a queue that is no longer configured.
     pub(crate) fn accepted(job: &Job) -> Self {
-        Terms {
+        Settings {
             priority: job.priority,
             max_attempts: job.max_attempts,
             slack: f64::from(job.slack_milli) / 1_000.0,
--- a/crates/planner/src/ledger.rs
+++ b/crates/planner/src/reconcile.rs
@@ -17,10 +17,10 @@
 
 /// Number of successive lists without a run, and without its end, after which the run counts as
 /// lost. The first of them may have been made before the start was answered.
-const ABSENT_LISTS: u32 = 3;
+const MISSING_LISTS: u32 = 3;
 /// Minimum time without a run in lists after which it counts as lost. Above the longest duration of
 /// a stop, during which the task still takes its resources.
-const ABSENT: Duration = Duration::from_millis(1_500);
+const MISSING_TIME: Duration = Duration::from_millis(1_500);
 
 impl Planner {
     /// Reconciles the runs of a worker with the list in a poll.
@@ -29,7 +29,7 @@
     /// one list, absence from the list proves nothing.
     pub(crate) fn reconcile(&mut self, now: Moment, name: &str, poll: &Poll) {
         for ended in &poll.ended {
-            self.listed_end(now, name, ended);
+            self.handle_end(now, name, ended);
         }
         let is_cut_off = poll.ended.len() >= LISTED_ENDS;
         let worker = self.workers.get_mut(name).expect("the caller has inserted it");
@@ -39,10 +39,10 @@
         }
         let is_first = !worker.is_fenced;
         worker.is_fenced = true;
-        self.enrol(name, &poll.address);
+        self.add_member(name, &poll.address);
         let worker = self.workers.get_mut(name).expect("the caller has inserted it");
-        let is_new_list = poll.lists != worker.lists;
-        worker.lists = poll.lists;
+        let is_new_list = poll.lists != worker.list_number;
+        worker.list_number = poll.lists;
         let age = Duration::from_millis(poll.list_age_ms);
         let listed_at = now.steady.saturating_sub(age);
         let mut outdated = Vec::new();
@@ -50,10 +50,10 @@
             let Some(run) = &running.run else { continue };
             let task = Task::read(run);
             let worker = self.workers.get_mut(name).expect("the caller has inserted it");
-            if worker.listed(&task, running, is_new_list, listed_at) {
-                self.began(now, &task, run.run);
-                self.note_checkpoint(now, &task, run.run, &running.checkpoint);
-            } else if worker.holds_later(&task, run.run) {
+            if worker.update_listed(&task, running, is_new_list, listed_at) {
+                self.run_began(now, &task, run.run);
+                self.record_checkpoint(now, &task, run.run, &running.checkpoint);
+            } else if worker.has_later_run(&task, run.run) {
                 outdated.push((task, running));
             } else {
                 self.adopt(now, name, &task, running);
@@ -61,39 +61,40 @@
         }
         for verdict in &poll.verdicts {
             let Some(run) = &verdict.run else { continue };
-            self.verdict(now, name, &Task::read(run), run.run, verdict.rejection());
+            self.handle_verdict(now, name, &Task::read(run), run.run, verdict.rejection());
         }
-        self.receive(name, poll);
+        self.record_received(name, poll);
         if is_new_list && !is_cut_off {
-            self.miss_absent(now, name, poll);
+            self.end_missing_runs(now, name, poll);
         }
         if is_first {
             self.log(format!("worker={name} fenced, running={}", poll.running.len()));
-            self.drop_unlisted(now, name, poll);
+            self.end_unlisted_runs(now, name, poll);
         }
         // A later run of the same task stays until its own end is known: if it were replaced, its
         // end would be ignored.
         for (task, running) in outdated {
             let number = running.run.as_ref().map_or(0, |run| run.run);
-            if !self.workers.get(name).is_some_and(|worker| worker.holds_later(&task, number)) {
+            if !self.workers.get(name).is_some_and(|worker| worker.has_later_run(&task, number)) {
                 self.adopt(now, name, &task, running);
             }
         }
         if is_first {
-            self.check_settled(now);
+            self.check_recovered(now);
             self.needs_pass = true;
         }
     }
 
     /// Records which orders the agent has outstanding. A stop is an order of its own, besides the
     /// start of the same run, which may be outstanding for long.
-    fn receive(&mut self, name: &str, poll: &Poll) {
+    fn record_received(&mut self, name: &str, poll: &Poll) {
         let worker = self.workers.get_mut(name).expect("the caller has inserted it");
         for (task, run) in &mut worker.runs {
-            let in_hand = if run.phase == Phase::Stopping { &poll.stopping } else { &poll.pending };
-            let is_it =
+            let outstanding =
+                if run.phase == Phase::Stopping { &poll.stopping } else { &poll.pending };
+            let is_same =
                 |order: &sapphire_jobs::Run| order.run == run.number && Task::read(order) == *task;
-            run.is_received = in_hand.iter().any(is_it);
+            run.is_received = outstanding.iter().any(is_same);
         }
     }
 
@@ -102,7 +103,7 @@
     /// Guards against a group that waits forever for an end that was lost. Runs whose start is
     /// unanswered are left alone: such a start may still be carried out, and its agent invalidates
     /// it.
-    fn miss_absent(&mut self, now: Moment, name: &str, poll: &Poll) {
+    fn end_missing_runs(&mut self, now: Moment, name: &str, poll: &Poll) {
         let is_listed = |task: &Task, number: u32| {
             let mut runs = poll.running.iter().filter_map(|running| running.run.as_ref());
             runs.any(|run| run.run == number && Task::read(run) == *task)
@@ -111,18 +112,18 @@
         let mut lost = Vec::new();
         for (task, run) in worker.runs.iter_mut().filter(|(_, run)| run.is_started) {
             if is_listed(task, run.number) {
-                run.absent = 0;
-                run.seen = now.steady;
+                run.missing_lists = 0;
+                run.last_listed = now.steady;
             } else {
-                run.absent += 1;
+                run.missing_lists += 1;
             }
-            if run.absent >= ABSENT_LISTS && now.steady >= run.seen + ABSENT {
+            if run.missing_lists >= MISSING_LISTS && now.steady >= run.last_listed + MISSING_TIME {
                 lost.push((task.clone(), run.number));
             }
         }
         for (task, number) in lost {
             self.log(format!("task={task} run={number} worker={name} missing from lists; lost"));
-            self.ended(now, name, &task, number, Ending::Lost, "");
+            self.run_ended(now, name, &task, number, Ending::Lost, "");
         }
     }
 
@@ -130,64 +131,73 @@
     /// the token has invalidated every start that is not in it. It may omit a task that is being
     /// stopped. The end of such a task is still to come, or later lists omit it for longer than a
     /// stop takes.
-    fn drop_unlisted(&mut self, now: Moment, name: &str, poll: &Poll) {
+    fn end_unlisted_runs(&mut self, now: Moment, name: &str, poll: &Poll) {
         let is_listed = |task: &Task, number: u32| {
             let mut runs = poll.running.iter().filter_map(|running| running.run.as_ref());
             runs.any(|run| run.run == number && Task::read(run) == *task)
         };
         let worker = self.workers.get(name).expect("the caller has inserted it");
-        let may_go_on = !worker.is_new_life;
+        let may_go_on = !worker.is_new_incarnation;
         let is_stopping = |run: &Run| may_go_on && run.is_started && run.phase == Phase::Stopping;
         let missing: Vec<(Task, u32)> = (worker.runs.iter())
             .filter(|(task, run)| !is_listed(task, run.number) && !is_stopping(run))
             .map(|(task, run)| (task.clone(), run.number))
             .collect();
         for (task, number) in missing {
-            self.log(format!("task={task} run={number} worker={name} is not there"));
-            self.ended(now, name, &task, number, Ending::Lost, "");
+            self.log(format!(
+                "task={task} run={number} worker={name} not in the session's first list; lost"
+            ));
+            self.run_ended(now, name, &task, number, Ending::Lost, "");
         }
     }
 
-    fn listed_end(&mut self, now: Moment, name: &str, ended: &sapphire_jobs::Ended) {
+    fn handle_end(&mut self, now: Moment, name: &str, ended: &sapphire_jobs::Ended) {
         let worker = self.workers.get(name).expect("the caller has inserted it");
-        if ended.number <= worker.noted || worker.ended.contains_key(&ended.number) {
+        if ended.number <= worker.acknowledged || worker.pending_ends.contains_key(&ended.number) {
             return;
         }
         let Some(run) = &ended.run else { return };
         let task = Task::read(run);
-        let change = self.ended(now, name, &task, run.run, ended.ending(), &ended.checkpoint);
+        let change = self.run_ended(now, name, &task, run.run, ended.ending(), &ended.checkpoint);
         let worker = self.workers.get_mut(name).expect("the caller has inserted it");
-        worker.ended.insert(ended.number, change);
+        worker.pending_ends.insert(ended.number, change);
     }
 
-    fn verdict(&mut self, now: Moment, name: &str, task: &Task, number: u32, rejection: Rejection) {
+    fn handle_verdict(
+        &mut self,
+        now: Moment,
+        name: &str,
+        task: &Task,
+        number: u32,
+        rejection: Rejection,
+    ) {
         let worker = self.workers.get(name).expect("the caller has inserted it");
         let is_known = worker.runs.get(task).is_some_and(|run| run.number == number);
-        if !is_known || !worker::is_settled(rejection) {
+        if !is_known || !worker::is_definite(rejection) {
             return;
         }
         self.log(format!("task={task} run={number} worker={name} refused={rejection:?}"));
         if matches!(rejection, Rejection::Unhealthy | Rejection::NoRoom) {
             self.suspects.failed(name, now.steady);
         }
-        self.ended(now, name, task, number, Ending::Lost, "");
+        self.run_ended(now, name, task, number, Ending::Lost, "");
     }
 
     /// Adopts a run that an earlier planner started, or stops one that should not exist.
     fn adopt(&mut self, now: Moment, name: &str, task: &Task, running: &sapphire_jobs::Running) {
         let number = running.run.as_ref().map_or(0, |run| run.run);
-        let (room, is_wanted) = self.adoption(now, name, task, number);
+        let (resources, is_wanted) = self.adoption(now, name, task, number);
         let phase = if is_wanted { Phase::Running } else { Phase::Stopping };
         let worker = self.workers.get_mut(name).expect("the caller has inserted it");
-        let mut run = Run::new(number, room, phase, running.percent, now.steady);
-        let stop = Stop { cause: Cause::Unwanted, since: now.steady };
+        let mut run = Run::new(number, resources, phase, running.percent, now.steady);
+        let stop = Stop { cause: Cause::Unwanted, decided_at: now.steady };
         run.stop = (!is_wanted).then_some(stop);
         run.is_started = true;
         worker.runs.insert(task.clone(), run);
-        let verb = if is_wanted { "adopted" } else { "not wanted, stopped" };
+        let verb = if is_wanted { "adopted" } else { "unexpected run; stopped" };
         self.log(format!("task={task} run={number} worker={name} {verb}"));
         if is_wanted {
-            self.began(now, task, number);
+            self.run_began(now, task, number);
         }
     }
 
@@ -196,33 +206,33 @@
             return (Room::default(), false);
         };
         let Some(step) = entry.step(task.step).cloned() else { return (Room::default(), false) };
-        let room = Room::read(step.room.as_ref());
+        let resources = Room::read(step.room.as_ref());
         let is_over = entry.is_over();
         let key = GroupKey::of(task, step.is_gang);
-        let Some(group) = entry.groups.get_mut(&key) else { return (room, false) };
+        let Some(group) = entry.groups.get_mut(&key) else { return (resources, false) };
         if is_over || group.is_final() || number < group.run || number <= group.ended_run {
-            return (room, false);
+            return (resources, false);
         }
         match &mut group.phase {
             GroupPhase::Waiting => {
                 group.run = number;
                 group.claim = None;
                 group.phase = GroupPhase::Active(Active {
-                    since: now.steady,
+                    ordered_at: now.steady,
                     began: None,
-                    left: [(task.index, name.to_owned())].into(),
+                    unfinished: [(task.index, name.to_owned())].into(),
                     is_stopping: false,
-                    is_far: false,
+                    is_remote: false,
                     checkpoint: group.checkpoint.clone(),
                 });
-                (room, true)
+                (resources, true)
             }
             GroupPhase::Active(active) if group.run == number => {
                 let is_wanted = !active.is_stopping;
-                let earlier = active.left.insert(task.index, name.to_owned());
-                (room, is_wanted && earlier.is_none_or(|worker| worker == name))
+                let earlier = active.unfinished.insert(task.index, name.to_owned());
+                (resources, is_wanted && earlier.is_none_or(|worker| worker == name))
             }
-            _ => (room, false),
+            _ => (resources, false),
         }
     }
 
@@ -232,7 +242,7 @@
             worker.runs.iter().map(|(task, run)| (task.clone(), run.number)).collect();
         for (task, number) in runs {
             self.log(format!("task={task} run={number} worker={name} lost: {why}"));
-            self.ended(now, name, &task, number, Ending::Lost, "");
+            self.run_ended(now, name, &task, number, Ending::Lost, "");
         }
     }
 }
--- a/crates/planner/src/startup.rs
+++ b/crates/planner/src/startup.rs
@@ -28,30 +28,30 @@
     fn scan(&mut self, after: String) {
         let prefix = keys::ALL.to_owned();
         let call = Call::Scan { prefix, after, may_be_stale: false };
-        self.out.push(Effect::Store(Operation::Scan, call));
+        self.effects.push(Effect::Store(Operation::Scan, call));
     }
 
     /// Reads a page again that got no reply.
-    pub(crate) fn scan_again(&mut self, now: Moment) {
-        if self.startup.again_at.take_if(|at| now.steady >= *at).is_some() {
+    pub(crate) fn retry_scan(&mut self, now: Moment) {
+        if self.startup.retry_at.take_if(|at| now.steady >= *at).is_some() {
             let after = self.startup.items.last().map_or(String::new(), |item| item.key.clone());
             self.scan(after);
         }
     }
 
     /// Handles a page of the store's records.
-    pub(crate) fn scanned(&mut self, now: Moment, reply: Reply) {
+    pub(crate) fn handle_scan(&mut self, now: Moment, reply: Reply) {
         if self.startup.phase != Phase::Reading {
             return;
         }
         let Reply::Items { items, has_more, revision } = reply else {
             // The planner can do nothing else until the store replies, but a store that rejects
             // calls at once must not be called again at once.
-            self.startup.again_at = Some(now.steady + options::RETRY);
+            self.startup.retry_at = Some(now.steady + options::RETRY_DELAY);
             return;
         };
         // The pages are not a snapshot: later submissions are read from this revision on.
-        let first = *self.startup.first.get_or_insert(revision);
+        let first = *self.startup.first_revision.get_or_insert(revision);
         let after = items.last().map(|item| item.key.clone());
         self.startup.items.extend(items);
         if has_more && let Some(after) = after {
@@ -59,16 +59,16 @@
             return;
         }
         self.intake.start(now.steady, first);
-        self.take_up(now);
+        self.load_records(now);
     }
 
-    fn take_up(&mut self, now: Moment) {
+    fn load_records(&mut self, now: Moment) {
         let items = std::mem::take(&mut self.startup.items);
         let mut progress = Vec::new();
         let mut cancelled = Vec::new();
         for item in &items {
             let Some(value) = &item.value else { continue };
-            match keys::read(&item.key) {
+            match keys::parse(&item.key) {
                 Key::Job(id) => self.load_job(now, id, value),
                 Key::Progress(id) => progress.push((id, value, item.revision)),
                 Key::Cancel(id) => cancelled.push(id),
@@ -81,7 +81,7 @@
             match (Progress::decode(&value[..]), self.table.entries.get_mut(id)) {
                 (Ok(progress), Some(entry)) => entry.restore(&progress, revision, now),
                 (Err(error), _) => {
-                    self.log(format!("job={id} progress in the store can't be read: {error}"));
+                    self.log(format!("job={id} progress can't be decoded: {error}"));
                 }
                 (Ok(_), None) => {}
             }
@@ -90,14 +90,14 @@
         for id in cancelled {
             self.cancel(now, id);
         }
-        self.open_loaded(now);
-        self.startup.terms += 1;
+        self.prepare_loaded_jobs(now);
+        self.startup.term_number += 1;
         self.startup.phase = Phase::Recording;
         let (jobs, members) = (self.table.entries.len(), self.startup.members.len());
         let term = self.term;
         self.log(format!("term={term} read the store: jobs={jobs} workers={members}"));
         let addresses = self.startup.members.values().cloned().collect();
-        self.out.push(Effect::Announce(addresses));
+        self.effects.push(Effect::Announce(addresses));
         self.write_fleet();
     }
 
@@ -111,11 +111,12 @@
         entries.sort_by_key(|entry| entry.job.accepted_ms);
         for entry in entries {
             for (key, group) in entry.groups.iter().filter(|(_, group)| group.is_final()) {
-                let (Some(shown), Some(step)) = (&group.shown, entry.step(key.step)) else {
+                let (Some(observation), Some(step)) = (&group.observation, entry.step(key.step))
+                else {
                     continue;
                 };
                 let kind = estimate_kind(entry, step);
-                self.estimates.observe_kind(kind, length::declared(step), shown.whole);
+                self.estimates.observe_kind(kind, length::declared(step), observation.run_time);
             }
         }
     }
@@ -123,10 +124,10 @@
     fn load_job(&mut self, now: Moment, id: &str, value: &Bytes) {
         match Job::decode(&value[..]) {
             Ok(job) => {
-                let handed_in = accept::handed_in(now, &job);
-                self.table.insert(Entry::new(Arc::new(job), true, handed_in));
+                let submitted = accept::submission_time(now, &job);
+                self.table.insert(Entry::new(Arc::new(job), true, submitted));
             }
-            Err(error) => self.log(format!("job={id} in the store can't be read: {error}")),
+            Err(error) => self.log(format!("job={id} record can't be decoded: {error}")),
         }
     }
 
@@ -134,27 +135,27 @@
         self.startup.fleet_revision = revision;
         match Fleet::decode(&value[..]) {
             Ok(fleet) => {
-                self.startup.terms = fleet.terms;
+                self.startup.term_number = fleet.terms;
                 let members = fleet.members.into_iter().map(|member| (member.name, member.address));
                 self.startup.members = members.collect();
                 self.startup.recorded = self.startup.members.keys().cloned().collect();
-                self.startup.unheard = self.startup.members.keys().cloned().collect();
+                self.startup.unaccounted = self.startup.members.keys().cloned().collect();
             }
-            Err(error) => self.log(format!("workers in the store can't be read: {error}")),
+            Err(error) => self.log(format!("list of workers can't be decoded: {error}")),
         }
     }
 
-    fn open_loaded(&mut self, now: Moment) {
-        let over = |entry: &Entry| entry.is_over();
+    fn prepare_loaded_jobs(&mut self, now: Moment) {
+        let is_over = |entry: &Entry| entry.is_over();
         let ended: Vec<String> = (self.table.entries.iter())
-            .filter(|(_, entry)| over(entry))
+            .filter(|(_, entry)| is_over(entry))
             .map(|(id, _)| id.clone())
             .collect();
         for id in ended {
             self.table.open.remove(&id);
         }
         for entry in self.table.entries.values_mut().filter(|entry| !entry.is_over()) {
-            entry.materialise(now);
+            entry.add_due_occurrences(now);
         }
     }
 
@@ -174,7 +175,7 @@
         ];
         let puts = vec![Put { key: keys::FLEET.to_owned(), value, lease: None }];
         let call = Call::Commit { conditions, puts, removes: Vec::new() };
-        self.out.push(Effect::Store(Operation::Fleet, call));
+        self.effects.push(Effect::Store(Operation::Fleet, call));
     }
 
     /// Handles the reply to a write of the list of workers.
@@ -211,8 +212,8 @@
         if is_deposed {
             let term = self.term;
             let newer = lead.map_or(0, |item| item.revision);
-            self.log(format!("term={term} is over: the planner's key has revision {newer}"));
-            self.out.push(Effect::Deposed);
+            self.log(format!("term={term} is over: the leader key has revision {newer}"));
+            self.effects.push(Effect::Deposed);
         }
         is_deposed
     }
@@ -222,14 +223,14 @@
         let (term, took) = (self.term, now.steady.saturating_sub(self.startup.began));
         self.log(format!("term={term} serves after {} ms", took.as_millis()));
         self.answer_early_polls();
-        self.check_settled(now);
+        self.check_recovered(now);
     }
 
     /// Adds a worker to the stored list, which must contain it before it gets any task.
     ///
     /// Guards against a task that runs twice: a successor must know every minion that may be
     /// running tasks, including those that it cannot reach.
-    pub(crate) fn enrol(&mut self, worker: &str, address: &str) {
+    pub(crate) fn add_member(&mut self, worker: &str, address: &str) {
         let known = self.startup.members.get(worker);
         if known.is_none_or(|known| known != address) {
             self.startup.members.insert(worker.to_owned(), address.to_owned());
@@ -239,7 +240,7 @@
     }
 
     /// Removes a worker from the stored list once nothing can be running there.
-    pub(crate) fn strike(&mut self, worker: &str) {
+    pub(crate) fn remove_member(&mut self, worker: &str) {
         if self.startup.members.remove(worker).is_some() {
             self.startup.is_fleet_dirty = true;
         }
@@ -247,24 +248,24 @@
 
     /// Checks whether all orders of earlier planners are accounted for: each worker has
     /// acknowledged this term's token, has no minion, or its lease has certainly expired.
-    pub(crate) fn check_settled(&mut self, now: Moment) {
-        if self.startup.is_settled || !self.startup.is_serving() {
+    pub(crate) fn check_recovered(&mut self, now: Moment) {
+        if self.startup.is_recovered || !self.startup.is_serving() {
             return;
         }
         let workers = &self.workers;
         let is_known = |name: &String| {
             workers.get(name).is_some_and(|worker| worker.is_fenced || worker.is_vacant)
         };
-        self.startup.unheard.retain(|name| !is_known(name));
-        let wait = self.options.lapse() + options::OUTAGE;
-        if !self.startup.unheard.is_empty() && now.steady < self.startup.began + wait {
+        self.startup.unaccounted.retain(|name| !is_known(name));
+        let wait = self.options.lease_expiry() + options::OUTAGE;
+        if !self.startup.unaccounted.is_empty() && now.steady < self.startup.began + wait {
             return;
         }
-        for worker in std::mem::take(&mut self.startup.unheard) {
-            self.strike(&worker);
-            self.log(format!("worker={worker} not heard of since the term began; taken as gone"));
+        for worker in std::mem::take(&mut self.startup.unaccounted) {
+            self.remove_member(&worker);
+            self.log(format!("worker={worker} no contact since the term began; declared lost"));
         }
-        self.startup.is_settled = true;
+        self.startup.is_recovered = true;
         self.needs_pass = true;
         let term = self.term;
         self.log(format!("term={term} knows what earlier orders have come to"));
@@ -278,13 +279,13 @@
             for (key, group) in &entry.groups {
                 let Some(active) = group.active() else { continue };
                 let Some(step) = entry.step(key.step).filter(|step| step.is_gang) else { continue };
-                if active.left.len() < step.tasks as usize && !active.is_stopping {
+                if active.unfinished.len() < step.tasks as usize && !active.is_stopping {
                     partial.push((id.clone(), *key));
                 }
             }
         }
         for (id, key) in partial {
-            self.log(format!("job={id} step={} gang is not whole; stopped", key.step));
+            self.log(format!("job={id} step={} gang is incomplete; stopped", key.step));
             self.stop_group(now.steady, &id, &key, &Cause::Gang);
         }
     }
--- a/crates/planner/src/state/handover.rs
+++ b/crates/planner/src/state/handover.rs
@@ -1,14 +1,14 @@
-//! State of the record of unanswered starts that a planner leaves to its successor.
+//! State of the handover record: unanswered starts that a planner leaves to its successor.
 
 use std::time::Duration;
 
 use sapphire_store::call::Revision;
 
-/// The record in the store.
+/// State of the handover record in the store.
 #[derive(Default)]
 pub(crate) struct Handover {
     pub(crate) revision: Revision,
     pub(crate) is_writing: bool,
     /// Time before which it is not written again.
-    pub(crate) next: Duration,
+    pub(crate) next_write: Duration,
 }
--- a/crates/planner/src/state/intake.rs
+++ b/crates/planner/src/state/intake.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub(crate) struct Scan {
     /// Revision of the store at the first page; `None` before that page has arrived.
-    pub(crate) first: Option<Revision>,
+    pub(crate) first_revision: Option<Revision>,
     /// Last key of the previous page.
     pub(crate) after: String,
 }
@@ -20,8 +20,8 @@
 pub(crate) struct Intake {
     /// Revision of the store up to which all submissions are known.
     pub(crate) revision: Revision,
-    pub(crate) next: Duration,
-    pub(crate) is_asking: bool,
+    pub(crate) next_read: Duration,
+    pub(crate) is_reading: bool,
     /// The read that is in progress because the store's history after `revision` is gone.
     pub(crate) scan: Option<Scan>,
 }
@@ -29,6 +29,6 @@
 impl Intake {
     pub(crate) fn start(&mut self, now: Duration, revision: Revision) {
         self.revision = revision;
-        self.next = now + options::INTAKE_INTERVAL;
+        self.next_read = now + options::INTAKE_INTERVAL;
     }
 }
--- a/crates/planner/src/state/startup.rs
+++ b/crates/planner/src/state/startup.rs
@@ -22,11 +22,11 @@
     pub(crate) began: Duration,
     pub(crate) items: Vec<Item>,
     /// Revision of the store at the first page; `None` before that page has arrived.
-    pub(crate) first: Option<Revision>,
+    pub(crate) first_revision: Option<Revision>,
     /// Time at which a page that got no reply is read again.
-    pub(crate) again_at: Option<Duration>,
+    pub(crate) retry_at: Option<Duration>,
     /// Ordinal number of this term, counted over all planners.
-    pub(crate) terms: u32,
+    pub(crate) term_number: u32,
     pub(crate) fleet_revision: Revision,
     /// Workers that the stored list should contain, with the addresses of their agents.
     pub(crate) members: BTreeMap<WorkerName, String>,
@@ -35,12 +35,12 @@
     /// Workers in the list that is being written.
     pub(crate) recording: BTreeSet<WorkerName>,
     /// Workers that earlier planners gave tasks to and that have not been accounted for yet.
-    pub(crate) unheard: Vec<WorkerName>,
+    pub(crate) unaccounted: Vec<WorkerName>,
     /// The stored list of workers is out of date.
     pub(crate) is_fleet_dirty: bool,
     pub(crate) is_writing_fleet: bool,
     /// All orders of earlier planners are accounted for.
-    pub(crate) is_settled: bool,
+    pub(crate) is_recovered: bool,
 }
 
 impl Startup {
@@ -49,17 +49,17 @@
             phase: Phase::Reading,
             began: now,
             items: Vec::new(),
-            first: None,
-            again_at: None,
-            terms: 0,
+            first_revision: None,
+            retry_at: None,
+            term_number: 0,
             fleet_revision: 0,
             members: BTreeMap::new(),
             recorded: BTreeSet::new(),
             recording: BTreeSet::new(),
-            unheard: Vec::new(),
+            unaccounted: Vec::new(),
             is_fleet_dirty: true,
             is_writing_fleet: false,
-            is_settled: false,
+            is_recovered: false,
         }
     }
 
@@ -72,8 +72,8 @@
         self.began
     }
 
-    pub(crate) fn is_settled(&self) -> bool {
-        self.is_settled
+    pub(crate) fn is_recovered(&self) -> bool {
+        self.is_recovered
     }
 
     /// Returns whether a successor would know that it has to account for a worker.
@@ -87,6 +87,6 @@
             name: name.clone(),
             address: address.clone(),
         };
-        Fleet { terms: self.terms, members: self.members.iter().map(member).collect() }
+        Fleet { terms: self.term_number, members: self.members.iter().map(member).collect() }
     }
 }
--- a/crates/planner/src/supply.rs
+++ b/crates/planner/src/supply.rs
@@ -7,12 +7,12 @@
 use crate::{event::Moment, group::Phase, planner::Planner, table::Entry, worker::Worker};
 
 /// Interval between two computations over all open jobs.
-const INTERVAL: Duration = Duration::from_millis(500);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which workers may join before their resources are reported. Until then the largest
 /// worker may be missing, and jobs that fit on it would be rejected.
-const GATHERING: Duration = Duration::from_secs(5);
+const JOIN_PERIOD: Duration = Duration::from_secs(5);
 /// Assumed remaining fraction of the expected run time of a running task: half of it, on average.
-const LEFT: f64 = 0.5;
+const REMAINING_SHARE: f64 = 0.5;
 
 /// A sum of resources, or of resources times seconds, by kind of resource.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,11 +23,11 @@
 }
 
 impl Amount {
-    fn of(room: Room, times: f64) -> Self {
+    fn of(resources: Room, times: f64) -> Self {
         Amount {
-            millicores: room.millicores as f64 * times,
-            memory_mib: room.memory_mib as f64 * times,
-            accelerators: room.accelerators as f64 * times,
+            millicores: resources.millicores as f64 * times,
+            memory_mib: resources.memory_mib as f64 * times,
+            accelerators: resources.accelerators as f64 * times,
         }
     }
 
@@ -48,54 +48,55 @@
 
 /// Sums for one service.
 #[derive(Default)]
-struct Sums {
+struct Totals {
     largest: Room,
     /// Resources of all workers that are not draining.
     capacity: Amount,
     /// Resources of long-running tasks.
-    lasting: Amount,
+    long_running: Amount,
     /// Open work by priority, in resources times seconds.
     work: BTreeMap<u32, Amount>,
 }
 
 impl Planner {
     /// Sums up the workers and the open work at intervals.
-    pub(crate) fn sum_supplies(&mut self, now: Moment) {
-        let is_early = !self.startup.is_settled() || now.steady < self.startup.began() + GATHERING;
-        if is_early || now.steady < self.last_supplies + INTERVAL {
+    pub(crate) fn update_supplies(&mut self, now: Moment) {
+        let is_early =
+            !self.startup.is_recovered() || now.steady < self.startup.began() + JOIN_PERIOD;
+        if is_early || now.steady < self.last_supplies + UPDATE_INTERVAL {
             return;
         }
         self.last_supplies = now.steady;
-        self.fit_open_jobs();
-        let mut sums: BTreeMap<&str, Sums> = BTreeMap::new();
+        self.update_all_step_capacities();
+        let mut totals: BTreeMap<&str, Totals> = BTreeMap::new();
         for worker in self.workers.values() {
             let Some(minion) = &worker.incarnation else { continue };
-            let sum = sums.entry(&minion.service).or_default();
-            let room = worker.capacity();
-            sum.largest = sum.largest.most(room);
+            let sum = totals.entry(&minion.service).or_default();
+            let resources = worker.capacity();
+            sum.largest = sum.largest.most(resources);
             if !minion.is_draining {
-                sum.capacity.add(Amount::of(room, 1.0));
+                sum.capacity.add(Amount::of(resources, 1.0));
             }
         }
         for entry in self.table.open.iter().filter_map(|id| self.table.entries.get(id)) {
-            if let Some(sum) = sums.get_mut(self.service(entry)) {
-                let (lasting, work) = self.open_work(entry);
-                sum.lasting.add(lasting);
-                sum.work.entry(self.terms(entry).priority).or_default().add(work);
+            if let Some(sum) = totals.get_mut(self.service(entry)) {
+                let (long_running, work) = self.open_work(entry);
+                sum.long_running.add(long_running);
+                sum.work.entry(self.queue_settings(entry).priority).or_default().add(work);
             }
         }
-        self.supplies = sums.into_iter().filter_map(|(name, sum)| sum.supply(name)).collect();
+        self.supplies = totals.into_iter().filter_map(|(name, sum)| sum.supply(name)).collect();
     }
 
     /// Counts for each open job how many tasks of its steps fit on the workers at the same time.
-    fn fit_open_jobs(&mut self) {
+    fn update_all_step_capacities(&mut self) {
         for id in self.table.open.clone() {
-            self.fit_job(&id);
+            self.update_step_capacity(&id);
         }
     }
 
     /// Counts how many tasks of each of a job's steps fit on the workers at the same time.
-    pub(crate) fn fit_job(&mut self, id: &str) {
+    pub(crate) fn update_step_capacity(&mut self, id: &str) {
         if !self.options.policy.count_waves {
             return;
         }
@@ -104,46 +105,46 @@
         let workers = self.workers.values().filter(|worker| {
             worker.incarnation.as_ref().is_some_and(|minion| minion.service == service)
         });
-        let rooms: Vec<Room> = workers.map(Worker::capacity).collect();
+        let capacities: Vec<Room> = workers.map(Worker::capacity).collect();
         let fits = |step: &Step| {
-            let room = Room::read(step.room.as_ref());
-            rooms.iter().map(|worker| u64::from(worker.holds(room))).sum()
+            let resources = Room::read(step.room.as_ref());
+            capacities.iter().map(|worker| u64::from(worker.holds(resources))).sum()
         };
-        let fits = entry.job.steps.iter().map(fits).collect();
+        let step_capacity = entry.job.steps.iter().map(fits).collect();
         if let Some(entry) = self.table.entries.get_mut(id) {
-            entry.fits = fits;
+            entry.step_capacity = step_capacity;
         }
     }
 
     /// Returns the resources of a job's long-running tasks, and its other unfinished work.
     fn open_work(&self, entry: &Entry) -> (Amount, Amount) {
-        let (mut lasting, mut work) = (Amount::default(), Amount::default());
+        let (mut long_running, mut work) = (Amount::default(), Amount::default());
         for (key, group) in &entry.groups {
             let Some(step) = entry.step(key.step) else { continue };
             let tasks = f64::from(if step.is_gang { step.tasks } else { 1 });
-            let room = Room::read(step.room.as_ref());
-            let time = self.expect(entry, key.step).as_secs_f64();
+            let resources = Room::read(step.room.as_ref());
+            let time = self.expected_run_time(entry, key.step).as_secs_f64();
             match group.phase {
                 Phase::Done | Phase::Failed => {}
-                _ if step.is_long_running => lasting.add(Amount::of(room, tasks)),
-                Phase::Waiting => work.add(Amount::of(room, tasks * time)),
-                Phase::Active(_) => work.add(Amount::of(room, tasks * time * LEFT)),
+                _ if step.is_long_running => long_running.add(Amount::of(resources, tasks)),
+                Phase::Waiting => work.add(Amount::of(resources, tasks * time)),
+                Phase::Active(_) => work.add(Amount::of(resources, tasks * time * REMAINING_SHARE)),
             }
         }
-        (lasting, work)
+        (long_running, work)
     }
 }
 
-impl Sums {
+impl Totals {
     fn supply(self, service: &str) -> Option<Supply> {
-        let left = 1.0 - self.lasting.share(&self.capacity);
-        if self.largest == Room::default() || left <= 0.0 {
+        let available = 1.0 - self.long_running.share(&self.capacity);
+        if self.largest == Room::default() || available <= 0.0 {
             return None;
         }
         let mut sum = Amount::default();
         let backlogs = self.work.iter().map(|(priority, work)| {
             sum.add(*work);
-            let drain = Duration::from_secs_f64(sum.share(&self.capacity) / left);
+            let drain = Duration::from_secs_f64(sum.share(&self.capacity) / available);
             let drain_ms = u64::try_from(drain.as_millis()).unwrap_or(u64::MAX);
             Backlog { priority: *priority, drain_ms }
         });
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -17,19 +17,19 @@
 
 use crate::{
     event::{Moment, Record},
-    group::{Group, Phase, Shown},
+    group::{Group, Observation, Phase},
     options,
 };
 
 /// How soon a change of progress must be durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Haste {
+pub enum Urgency {
     /// At once, since somebody waits for it.
-    Now,
+    Immediate,
     /// Soon; it may wait a little to be written together with other changes.
     Soon,
     /// Later; its loss costs only work that is done again.
-    Patient,
+    Deferred,
 }
 
 /// Progress that is not durable yet.
@@ -38,7 +38,7 @@
     /// Time by which it must be written.
     pub due: Duration,
     /// Urgency of its most urgent change.
-    pub haste: Haste,
+    pub urgency: Urgency,
 }
 
 /// A job.
@@ -53,17 +53,17 @@
     /// State as known to this planner.
     pub state: State,
     /// State that callers are shown; never ahead of what is durable.
-    pub shown: State,
+    pub reported_state: State,
     /// A task has started.
     pub has_begun: bool,
     /// Revision of the job's progress in the store.
     pub revision: u64,
     /// Number of the latest change of its progress.
-    pub changes: u64,
+    pub last_change: u64,
     /// Number of the latest change whose loss could make a task run once too often.
-    pub vital: u64,
+    pub last_critical_change: u64,
     /// Number of the latest change that is durable.
-    pub committed: u64,
+    pub committed_change: u64,
     /// Progress that has to be written.
     pub dirty: Option<Dirty>,
     /// Version of the table at which the state that callers are shown last changed.
@@ -71,37 +71,37 @@
     /// An earlier planner may have started the job.
     pub is_inherited: bool,
     /// Time of submission, on this planner's steady clock.
-    pub handed_in: Duration,
+    pub submitted: Duration,
     /// Time of the job's end, on this planner's steady clock.
     pub ended: Option<Duration>,
     /// Number of tasks of each step that fit on the workers of its service at the same time; 0
     /// while not known.
-    pub fits: Vec<u64>,
+    pub step_capacity: Vec<u64>,
     /// Observed run times of the tasks of each step.
-    pub seen: Vec<Option<Seen>>,
+    pub step_samples: Vec<Option<Seen>>,
 }
 
 impl Entry {
     /// Returns a job of which only the record is known.
-    pub fn new(job: Record, is_inherited: bool, handed_in: Duration) -> Self {
+    pub fn new(job: Record, is_inherited: bool, submitted: Duration) -> Self {
         Entry {
             job,
-            handed_in,
+            submitted,
             groups: BTreeMap::new(),
             occurrences: 0,
             state: State::Queued,
-            shown: State::Queued,
+            reported_state: State::Queued,
             has_begun: false,
             revision: 0,
-            changes: 0,
-            vital: 0,
-            committed: 0,
+            last_change: 0,
+            last_critical_change: 0,
+            committed_change: 0,
             dirty: None,
             version: 0,
             is_inherited,
             ended: None,
-            fits: Vec::new(),
-            seen: Vec::new(),
+            step_capacity: Vec::new(),
+            step_samples: Vec::new(),
         }
     }
 
@@ -116,9 +116,9 @@
     }
 
     /// Adds the groups of occurrences that have become due. Returns whether there were any.
-    pub fn materialise(&mut self, now: Moment) -> bool {
+    pub fn add_due_occurrences(&mut self, now: Moment) -> bool {
         let mut is_any = false;
-        while self.occurrences < self.times() && self.due(self.occurrences) <= now.unix {
+        while self.occurrences < self.repetitions() && self.due(self.occurrences) <= now.unix {
             let occurrence = self.occurrences;
             for (index, step) in self.job.steps.iter().enumerate() {
                 let count = if step.is_gang { 1 } else { step.tasks };
@@ -133,7 +133,7 @@
         is_any
     }
 
-    fn times(&self) -> u32 {
+    fn repetitions(&self) -> u32 {
         self.job.schedule.as_ref().map_or(1, |schedule| schedule.times)
     }
 
@@ -141,21 +141,22 @@
     /// since clocks differ and a start before the requested time is an error while a late one costs
     /// little.
     fn due(&self, occurrence: u32) -> Duration {
-        const CAUTION: Duration = Duration::from_millis(40);
+        const MARGIN: Duration = Duration::from_millis(40);
         let Some(schedule) = &self.job.schedule else { return Duration::ZERO };
         let after = schedule.interval_ms.saturating_mul(occurrence.into());
-        Duration::from_millis(schedule.first_ms.saturating_add(after)) + CAUTION
+        Duration::from_millis(schedule.first_ms.saturating_add(after)) + MARGIN
     }
 
     /// Returns the Unix time at which the next occurrence is due, if there is one.
     pub fn next_due(&self) -> Option<Duration> {
-        (!self.is_over() && self.occurrences < self.times()).then(|| self.due(self.occurrences))
+        (!self.is_over() && self.occurrences < self.repetitions())
+            .then(|| self.due(self.occurrences))
     }
 
     /// Restores the progress that is recorded in the store.
     pub fn restore(&mut self, progress: &Progress, revision: u64, now: Moment) {
         self.revision = revision;
-        self.materialise(now);
+        self.add_due_occurrences(now);
         for tally in &progress.tallies {
             let key =
                 GroupKey { occurrence: tally.occurrence, step: tally.step, index: tally.index };
@@ -167,30 +168,30 @@
                 group.phase = Phase::Done;
             }
             if tally.took_ms > 0 {
-                let whole = Duration::from_millis(tally.took_ms);
-                group.shown = Some(Shown::sound(whole, "", 0));
+                let run_time = Duration::from_millis(tally.took_ms);
+                group.observation = Some(Observation::healthy(run_time, "", 0));
             }
             self.has_begun = true;
         }
         self.state = progress.state();
-        self.shown = self.state;
+        self.reported_state = self.state;
         if self.is_over() {
             self.ended = Some(now.steady);
         } else if self.has_begun {
             self.state = State::Active;
-            self.shown = State::Active;
+            self.reported_state = State::Active;
         }
     }
 
     /// Returns the progress that has to be durable.
     pub fn progress(&self) -> Progress {
-        let is_news = |group: &&Group| {
+        let has_progress = |group: &&Group| {
             group.phase == Phase::Done
                 || !group.failed_runs.is_empty()
                 || !group.checkpoint.is_empty()
         };
         let tallies =
-            self.groups.iter().filter(|(_, group)| is_news(group)).map(|(key, group)| Tally {
+            self.groups.iter().filter(|(_, group)| has_progress(group)).map(|(key, group)| Tally {
                 occurrence: key.occurrence,
                 step: key.step,
                 index: key.index,
@@ -203,20 +204,20 @@
     }
 
     /// Records a change of progress that must become durable. Returns its number.
-    pub fn touch(&mut self, now: Duration, haste: Haste) -> u64 {
-        self.changes += 1;
-        if haste != Haste::Patient {
-            self.vital = self.changes;
+    pub fn record_change(&mut self, now: Duration, urgency: Urgency) -> u64 {
+        self.last_change += 1;
+        if urgency != Urgency::Deferred {
+            self.last_critical_change = self.last_change;
         }
-        let wait = match haste {
-            Haste::Now => Duration::ZERO,
-            Haste::Soon => options::GATHER,
-            Haste::Patient => options::GATHER_CHECKPOINTS,
+        let wait = match urgency {
+            Urgency::Immediate => Duration::ZERO,
+            Urgency::Soon => options::WRITE_DELAY,
+            Urgency::Deferred => options::CHECKPOINT_WRITE_DELAY,
         };
-        let dirty = self.dirty.get_or_insert(Dirty { due: now + wait, haste });
+        let dirty = self.dirty.get_or_insert(Dirty { due: now + wait, urgency });
         dirty.due = dirty.due.min(now + wait);
-        dirty.haste = dirty.haste.min(haste);
-        self.changes
+        dirty.urgency = dirty.urgency.min(urgency);
+        self.last_change
     }
 
     /// Returns whether the steps that a group depends on are done.
@@ -232,41 +233,42 @@
 
     /// Returns whether all tasks have succeeded.
     pub fn is_all_done(&self) -> bool {
-        self.occurrences == self.times()
+        self.occurrences == self.repetitions()
             && self.groups.values().all(|group| group.phase == Phase::Done)
     }
 
     /// Returns the accelerators that the initial steps take at the same time.
     pub fn accelerators(&self) -> u64 {
         let first = self.job.steps.iter().filter(|step| step.after.is_empty());
-        let of = |step: &Step| Room::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
-        first.map(of).sum()
+        let accelerators =
+            |step: &Step| Room::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
+        first.map(accelerators).sum()
     }
 
     /// Returns the run time of the critical path through the unfinished tasks, with as few waves as
     /// possible.
-    pub fn remaining(&self, expect: impl Fn(u32) -> Duration) -> Duration {
+    pub fn remaining_path(&self, run_time: impl Fn(u32) -> Duration) -> Duration {
         let last = self.occurrences.saturating_sub(1);
         let mut index = 0;
         length::chain(&self.job.steps, |_| {
-            let width = Width { tasks: self.tasks_left(last, index), ..self.width(index) };
+            let width = Width { tasks: self.unfinished_tasks(last, index), ..self.width(index) };
             index += 1;
             if width.tasks == 0 {
                 Duration::ZERO
             } else {
-                expect(index - 1) * waves::at_best(width)
+                run_time(index - 1) * waves::at_best(width)
             }
         })
     }
 
     /// Returns the run time of the critical path through all steps, with the number of waves that
     /// its caller must allow for.
-    pub fn chain(&self, expect: impl Fn(u32) -> Duration) -> Duration {
+    pub fn critical_path(&self, run_time: impl Fn(u32) -> Duration) -> Duration {
         let mut index = 0;
         length::chain(&self.job.steps, |_| {
             let width = self.width(index);
             index += 1;
-            expect(index - 1) * waves::allowed(width)
+            run_time(index - 1) * waves::allowed(width)
         })
     }
 
@@ -274,12 +276,12 @@
     /// counts as one task.
     pub fn width(&self, step: u32) -> Width {
         let tasks = self.step(step).map_or(0, |step| if step.is_gang { 1 } else { step.tasks });
-        let fits = self.fits.get(step as usize).copied().unwrap_or(0);
+        let fits = self.step_capacity.get(step as usize).copied().unwrap_or(0);
         Width { tasks, fits }
     }
 
     /// Returns the number of unfinished tasks of a step; a gang counts as one.
-    pub fn tasks_left(&self, occurrence: u32, step: u32) -> u32 {
+    pub fn unfinished_tasks(&self, occurrence: u32, step: u32) -> u32 {
         let groups = self.groups.range(step_groups(occurrence, step));
         let mut count = 0;
         let mut is_any = false;
@@ -301,7 +303,7 @@
     /// Version of the table, incremented with each change that callers are shown.
     pub version: u64,
     /// Jobs that were removed, with the version of the removal.
-    pub gone: Vec<(u64, JobId)>,
+    pub removed: Vec<(u64, JobId)>,
 }
 
 impl Table {
@@ -320,21 +322,21 @@
     }
 
     /// Sets the state of a job that callers are shown.
-    pub fn show(&mut self, id: &str, state: State) {
+    pub fn report_state(&mut self, id: &str, state: State) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        if entry.shown != state {
-            entry.shown = state;
+        if entry.reported_state != state {
+            entry.reported_state = state;
             self.version += 1;
             entry.version = self.version;
         }
     }
 
     /// Removes a job.
-    pub fn forget(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.open.remove(id);
         if self.entries.remove(id).is_some() {
             self.version += 1;
-            self.gone.push((self.version, id.to_owned()));
+            self.removed.push((self.version, id.to_owned()));
         }
     }
 }
--- a/crates/planner/src/unanswered.rs
+++ b/crates/planner/src/unanswered.rs
@@ -21,20 +21,20 @@
     reported: Option<Duration>,
     /// Time at which it expires, as reported by an earlier process of its agent, or as that process
     /// may have known it.
-    kept: Option<Duration>,
-    /// Time at which it expires according to the record for a successor.
+    retained: Option<Duration>,
+    /// Time at which it expires according to the handover record.
     recorded: Option<Duration>,
 }
 
 impl Start {
     /// Returns the time at which it expires; `None` if it cannot be carried out any more.
-    fn until(&self) -> Option<Duration> {
-        self.reported.max(self.kept)
+    fn expires_at(&self) -> Option<Duration> {
+        self.reported.max(self.retained)
     }
 
     /// Returns whether a successor would not wait for as long as necessary.
-    fn is_news(&self) -> bool {
-        self.until() > self.recorded.map(|until| until + options::MARGIN)
+    fn has_changes(&self) -> bool {
+        self.expires_at() > self.recorded.map(|until| until + options::TIMING_MARGIN)
     }
 }
 
@@ -62,10 +62,10 @@
 impl Starts {
     /// Handles an agent's report on the unanswered starts that it sent to minions of one name.
     pub(crate) fn report(&mut self, now: Duration, worker: &str, rows: &[Unanswered]) {
-        self.each(worker, |start| start.reported = None);
+        self.for_each_start(worker, |start| start.reported = None);
         for row in rows {
             let Some(run) = &row.run else { continue };
-            let left = options::LATEST_START.saturating_sub(Duration::from_millis(row.age_ms));
+            let left = options::START_EXPIRY.saturating_sub(Duration::from_millis(row.age_ms));
             let start = self.start(worker, Task::read(run));
             start.reported = start.reported.max(Some(now + left));
         }
@@ -74,22 +74,22 @@
 
     /// Keeps the starts of a worker whose agent's process is lost, along with what that process
     /// knew of them.
-    pub(crate) fn keep(&mut self, now: Duration, name: &str, worker: &Worker) {
-        self.each(name, |start| start.kept = start.until());
+    pub(crate) fn retain_lost(&mut self, now: Duration, name: &str, worker: &Worker) {
+        self.for_each_start(name, |start| start.retained = start.expires_at());
         for (task, _) in worker.runs.iter().filter(|(_, run)| !run.is_started) {
-            self.start(name, task.clone()).kept = Some(now + options::LATEST_START);
+            self.start(name, task.clone()).retained = Some(now + options::START_EXPIRY);
         }
     }
 
     /// Records the name of a worker's minion. A minion rejects calls that name another one, so that
     /// the starts sent to another name can no longer be carried out.
-    pub(crate) fn meet(&mut self, worker: &str, minion: &str) {
+    pub(crate) fn set_minion(&mut self, worker: &str, minion: &str) {
         if self.minion(worker) == Some(minion) {
             return;
         }
         let record = self.by_worker.entry(worker.to_owned()).or_default();
         if record.minion.replace(minion.to_owned()).is_some() {
-            self.each(worker, |start| *start = Start::default());
+            self.for_each_start(worker, |start| *start = Start::default());
             self.prune(worker);
         }
     }
@@ -101,20 +101,20 @@
         }
         let workers: Vec<WorkerName> = self.by_worker.keys().cloned().collect();
         for worker in workers {
-            self.each(&worker, |start| {
+            self.for_each_start(&worker, |start| {
                 start.reported = start.reported.filter(|until| now < *until);
-                start.kept = start.kept.filter(|until| now < *until);
+                start.retained = start.retained.filter(|until| now < *until);
             });
             self.prune(&worker);
         }
     }
 
-    /// Returns whether the record for a successor is out of date.
+    /// Returns whether the handover record is out of date.
     pub(crate) fn is_dirty(&self) -> bool {
-        self.by_task.values().flat_map(BTreeMap::values).any(Start::is_news)
+        self.by_task.values().flat_map(BTreeMap::values).any(Start::has_changes)
     }
 
-    /// Returns the record for a successor.
+    /// Returns the handover record for a successor.
     pub(crate) fn record(&mut self, now: Moment) -> UnansweredStarts {
         let mut workers = Vec::new();
         for (worker, record) in &self.by_worker {
@@ -124,7 +124,7 @@
                 let Some(start) = starts.and_then(|starts| starts.get_mut(worker)) else {
                     continue;
                 };
-                let Some(until) = start.until() else { continue };
+                let Some(until) = start.expires_at() else { continue };
                 start.recorded = Some(until);
                 let until = now.unix + until.saturating_sub(now.steady);
                 tasks.push(UnansweredTask {
@@ -144,12 +144,12 @@
     }
 
     /// Marks the stored record as unknown, so that it is written again.
-    pub(crate) fn forget_record(&mut self) {
+    pub(crate) fn invalidate_record(&mut self) {
         let starts = self.by_task.values_mut().flat_map(BTreeMap::values_mut);
         starts.for_each(|start| start.recorded = None);
     }
 
-    /// Restores the record of an earlier planner, whose clock may differ.
+    /// Restores the handover record of an earlier planner, whose clock may differ.
     pub(crate) fn restore(&mut self, now: Moment, starts: UnansweredStarts) {
         for UnansweredOn { worker, minion, tasks } in starts.workers {
             let is_other = self.minion(&worker).is_some_and(|known| known != minion);
@@ -157,13 +157,13 @@
                 continue;
             }
             for task in tasks {
-                let until = Duration::from_millis(task.until_ms) + options::CLOCK_SKEW;
-                let left = until.saturating_sub(now.unix).min(options::LATEST_START);
+                let until = Duration::from_millis(task.until_ms) + options::MAX_CLOCK_SKEW;
+                let left = until.saturating_sub(now.unix).min(options::START_EXPIRY);
                 let UnansweredTask { job, occurrence, step, index, .. } = task;
                 let task = Task { job, occurrence, step, index };
                 let start = self.start(&worker, task);
-                start.kept = (!left.is_zero()).then_some(now.steady + left);
-                start.recorded = start.kept;
+                start.retained = (!left.is_zero()).then_some(now.steady + left);
+                start.recorded = start.retained;
             }
             self.prune(&worker);
             if let Some(record) = self.by_worker.get_mut(&worker)
@@ -198,7 +198,7 @@
         self.by_task.entry(task).or_default().entry(worker.to_owned()).or_default()
     }
 
-    fn each(&mut self, worker: &str, change: impl Fn(&mut Start)) {
+    fn for_each_start(&mut self, worker: &str, change: impl Fn(&mut Start)) {
         let Some(record) = self.by_worker.get(worker) else { return };
         for task in &record.tasks {
             let start = self.by_task.get_mut(task).and_then(|starts| starts.get_mut(worker));
@@ -212,7 +212,7 @@
         let by_task = &mut self.by_task;
         record.tasks.retain(|task| {
             let Some(starts) = by_task.get_mut(task) else { return false };
-            if starts.get(worker).is_some_and(|start| start.until().is_some()) {
+            if starts.get(worker).is_some_and(|start| start.expires_at().is_some()) {
                 return true;
             }
             starts.remove(worker);
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -11,10 +11,10 @@
 };
 
 use crate::{
-    board::Board,
     event::Moment,
     group::{Claim, Group},
     planner::Planner,
+    pool::Pool,
     table::step_groups,
     worker::Cause,
 };
@@ -24,53 +24,53 @@
 const OVERHEAD: Duration = Duration::from_millis(300);
 /// Time from the end of a run until the planner knows of it: two messages between regions and the
 /// interval of the minion's lists.
-const SETTLING: Duration = Duration::from_millis(250);
+const END_REPORT_DELAY: Duration = Duration::from_millis(250);
 /// Maximum number of stopped groups that are named in one log line; the others are logged when they
 /// end.
-const NAMED_STOPS: usize = 8;
+const MAX_LOGGED_STOPS: usize = 8;
 
 /// An urgent group that finds no free resources.
 pub(crate) struct Urgent<'a> {
     /// The group's job.
     pub(crate) id: &'a str,
     pub(crate) key: &'a GroupKey,
-    pub(crate) ask: &'a Ask,
+    pub(crate) demand: &'a Ask,
     pub(crate) reach: Reach,
     /// The job is within its organisation's guarantee.
     pub(crate) is_guaranteed: bool,
 }
 
 impl Urgent<'_> {
-    fn of_plan(&self) -> clear::Urgent<'_> {
-        clear::Urgent { ask: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
+    fn to_plan(&self) -> clear::Urgent<'_> {
+        clear::Urgent { ask: self.demand, reach: self.reach, is_guaranteed: self.is_guaranteed }
     }
 }
 
 impl Planner {
     /// Stops the cheapest groups that release resources for an urgent one, or waits for them to end
     /// by themselves if that is soon enough.
-    pub(crate) fn make_room(
+    pub(crate) fn free_resources(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         urgent: &Urgent<'_>,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        self.look_up_candidates(now, board, guaranteed);
+        self.look_up_candidates(now, pool, guaranteed);
         self.load.searches += 1;
-        let Some((job, limit)) = self.wait_terms(now, urgent) else { return };
+        let Some((job, limit)) = self.wait_parameters(now, urgent) else { return };
         let limit = if self.options.policy.weigh_waits { limit } else { Duration::ZERO };
         let stop = self.options.stop;
-        let Board { places, candidates, .. } = &*board;
-        let choice = clear::weigh(places, candidates, urgent.of_plan(), &job, limit, stop);
+        let Pool { places, candidates, .. } = &*pool;
+        let choice = clear::weigh(places, candidates, urgent.to_plan(), &job, limit, stop);
         if let Some(choice) = choice {
-            self.claim(now, board, urgent, choice, false);
+            self.claim(now, pool, urgent, choice, false);
         }
     }
 
     /// Returns whether more tasks of an urgent step must run at the same time for the job to be
     /// complete in time.
-    pub(crate) fn needs_more(&self, now: Moment, id: &str, key: &GroupKey) -> bool {
+    pub(crate) fn needs_more_tasks(&self, now: Moment, id: &str, key: &GroupKey) -> bool {
         if !self.options.policy.limit_urgent {
             return true;
         }
@@ -78,9 +78,10 @@
         let groups = || entry.groups.range(step_groups(key.occurrence, key.step));
         let is_served = |group: &Group| group.active().is_some() || group.claim.is_some();
         let served = groups().filter(|(_, group)| is_served(group)).count();
-        let tasks = entry.tasks_left(key.occurrence, key.step);
-        let each = self.expect(entry, key.step);
-        let later = entry.remaining(|step| self.expect(entry, step)).saturating_sub(each);
+        let tasks = entry.unfinished_tasks(key.occurrence, key.step);
+        let each = self.expected_run_time(entry, key.step);
+        let later =
+            entry.remaining_path(|step| self.expected_run_time(entry, step)).saturating_sub(each);
         let spent = Self::age(entry, now) + OVERHEAD + later;
         let objective = self.objective(entry);
         let useful = objective * rank::USEFUL_OBJECTIVES;
@@ -95,50 +96,50 @@
     /// Guards against an urgent group that never starts: if it waited anew each time, the resources
     /// released by earlier stops would go to others, and as much work would be stopped again
     /// elsewhere.
-    pub(crate) fn force_room(
+    pub(crate) fn force_resources(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         urgent: &Urgent<'_>,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        self.look_up_candidates(now, board, guaranteed);
+        self.look_up_candidates(now, pool, guaranteed);
         self.load.searches += 1;
         // Free resources need no stop, so the place that was chosen first is usually kept.
-        let (stop, now_or_never) = (self.options.stop, Duration::ZERO);
-        let Board { places, candidates, .. } = &*board;
-        let choice = clear::choose(places, candidates, urgent.of_plan(), now_or_never, stop);
+        let (stop, no_wait) = (self.options.stop, Duration::ZERO);
+        let Pool { places, candidates, .. } = &*pool;
+        let choice = clear::choose(places, candidates, urgent.to_plan(), no_wait, stop);
         if let Some(choice) = choice {
-            self.claim(now, board, urgent, choice, true);
+            self.claim(now, pool, urgent, choice, true);
         }
     }
 
-    /// Sets resources aside for an urgent group, and stops the work that occupies them.
+    /// Claims resources for an urgent group, and stops the work that occupies them.
     fn claim(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         urgent: &Urgent<'_>,
         choice: Choice,
         is_forced: bool,
     ) {
-        let Urgent { id, key, ask, .. } = *urgent;
+        let Urgent { id, key, demand, .. } = *urgent;
         let Choice { wait, stops, seats, cost, .. } = choice;
-        let seat = |seat: &Seat| (board.places[seat.place].worker.to_string(), seat.tasks);
-        let seats = seats.iter().map(seat).collect();
-        let until = now.steady + wait.max(self.options.stop) + SETTLING;
-        let claim = Claim { until, seats };
-        board.take_claim(&claim, ask);
+        let assignment = |seat: &Seat| (pool.places[seat.place].worker.to_string(), seat.tasks);
+        let assignments = seats.iter().map(assignment).collect();
+        let until = now.steady + wait.max(self.options.stop) + END_REPORT_DELAY;
+        let claim = Claim { until, assignments };
+        pool.apply_claim(&claim, demand);
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         if let Some(group) = entry.groups.get_mut(key) {
             group.claim = Some(claim);
         }
         let mut stopped = Vec::new();
         for at in stops {
-            board.candidates[at].is_stopping = true;
-            stopped.push(board.candidate(at));
+            pool.candidates[at].is_stopping = true;
+            stopped.push(pool.candidate(at));
         }
-        let names: Vec<String> = stopped.iter().take(NAMED_STOPS).map(describe).collect();
+        let names: Vec<String> = stopped.iter().take(MAX_LOGGED_STOPS).map(describe).collect();
         self.log(format!(
             "job={id} step={} index={} waits_ms={} forced={is_forced} stops={} first={} cost={cost:.0}",
             key.step,
@@ -154,16 +155,16 @@
 
     /// Returns the parameters that decide how long an urgent group waits for work to end by itself,
     /// and the maximum of that wait.
-    fn wait_terms(&self, now: Moment, urgent: &Urgent<'_>) -> Option<(wait::Job, Duration)> {
+    fn wait_parameters(&self, now: Moment, urgent: &Urgent<'_>) -> Option<(wait::Job, Duration)> {
         let entry = self.table.entries.get(urgent.id)?;
-        let terms = self.terms(entry);
+        let settings = self.queue_settings(entry);
         let age = Self::age(entry, now);
         let job = wait::Job {
             age,
             expected: self.estimate(entry, urgent.key.step),
             overhead: OVERHEAD,
-            slack: terms.slack,
-            latency: terms.target_latency,
+            slack: settings.slack,
+            latency: settings.target_latency,
         };
         let limit = if urgent.is_guaranteed {
             self.options.reclaim.saturating_sub(age + self.options.stop + OVERHEAD)
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     event::Moment,
-    group::{Group, Shown},
+    group::{Group, Observation},
     planner::{Planner, estimate_kind},
     table::Entry,
     worker::{Cause, Phase, Run},
@@ -24,32 +24,32 @@
 
 /// Number of successive lists without progress after which a run counts as stalled. One of them may
 /// be old.
-const STILL_LISTS: u32 = 2;
+const STALLED_LISTS: u32 = 2;
 /// Interval between two checks of all runs. Lists arrive at longer intervals, so that a check at
 /// each tick would see the same lists again.
-const INTERVAL: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum age of a report; an older one says nothing about the present.
-const REPORT_AGE: Duration = Duration::from_millis(900);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(900);
 
 /// Run time of one task as inferred from its run; without a worker if the task has ended.
 #[derive(Clone, Copy, Debug)]
-struct Time<'a> {
+struct RunTime<'a> {
     worker: Option<&'a str>,
-    whole: Duration,
+    total: Duration,
 }
 
 /// Run times of the tasks of each step, by job and step.
-type Times<'a> = BTreeMap<(&'a str, u32), Vec<Time<'a>>>;
+type RunTimes<'a> = BTreeMap<(&'a str, u32), Vec<RunTime<'a>>>;
 
 /// Result of the check of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
+enum Finding {
     /// The run makes no progress.
-    Still { is_hopeless: bool },
+    Stalled { should_move: bool },
     /// The run is slow: its total run time at the present pace, and the expected one.
-    Slow { whole: Duration, expected: Estimate, is_hopeless: bool },
+    Slow { total: Duration, expected: Estimate, should_move: bool },
     /// The run is at the expected speed.
-    None,
+    Normal,
 }
 
 impl Planner {
@@ -59,53 +59,53 @@
     /// such a task would keep its resources, its caller would wait, and new tasks would be placed
     /// on the same worker.
     pub(crate) fn watch_progress(&mut self, now: Moment) {
-        if now.steady < self.last_watch + INTERVAL {
+        if now.steady < self.last_check + CHECK_INTERVAL {
             return;
         }
-        self.last_watch = now.steady;
-        let times = self.times();
-        let seen: Vec<(String, u32, Seen)> = (times.iter())
-            .filter_map(|((job, step), times)| Some(((*job).to_owned(), *step, seen(times, None)?)))
+        self.last_check = now.steady;
+        let run_times = self.run_times();
+        let samples: Vec<(String, u32, Seen)> = (run_times.iter())
+            .filter_map(|((job, step), all)| Some(((*job).to_owned(), *step, median(all, None)?)))
             .collect();
-        let faults = self.faults(now, &times);
-        self.note_seen(seen);
+        let findings = self.check_runs(now, &run_times);
+        self.record_samples(samples);
         // A run at the expected speed shows that its worker is healthy, so it is considered before
         // the slow runs.
-        for (name, _, _) in faults.iter().filter(|(.., fault)| *fault == Fault::None) {
+        for (name, _, _) in findings.iter().filter(|(.., finding)| *finding == Finding::Normal) {
             self.suspects.at_speed(name, now.steady);
         }
-        for (name, task, fault) in faults {
-            self.heed(now, &name, &task, fault);
+        for (name, task, finding) in findings {
+            self.react(now, &name, &task, finding);
         }
     }
 
     /// Collects the run times of the tasks of each step, from runs that have ended and from those
     /// in progress.
-    fn times(&self) -> Times<'_> {
-        let mut times = Times::new();
+    fn run_times(&self) -> RunTimes<'_> {
+        let mut run_times = RunTimes::new();
         for (name, worker) in &self.workers {
             for (task, run) in &worker.runs {
-                let Some(whole) = self.whole_near(task, run) else { continue };
-                let of_step = times.entry((&task.job, task.step)).or_default();
-                of_step.push(Time { worker: Some(name), whole });
+                let Some(total) = self.local_run_time(task, run) else { continue };
+                let of_step = run_times.entry((&task.job, task.step)).or_default();
+                of_step.push(RunTime { worker: Some(name), total });
             }
         }
         for (id, entry) in
             self.table.open.iter().filter_map(|id| self.table.entries.get_key_value(id))
         {
             for (key, group) in entry.groups.iter().filter(|(_, group)| group.active().is_none()) {
-                let Some(shown) = group.known() else { continue };
-                let time = Time { worker: None, whole: shown.whole };
-                times.entry((id, key.step)).or_default().push(time);
+                let Some(observed) = group.reliable_observation() else { continue };
+                let time = RunTime { worker: None, total: observed.run_time };
+                run_times.entry((id, key.step)).or_default().push(time);
             }
         }
-        times
+        run_times
     }
 
     /// Returns the total run time near the data, as inferred from a run.
-    pub(crate) fn whole_near(&self, task: &Task, run: &Run) -> Option<Duration> {
+    pub(crate) fn local_run_time(&self, task: &Task, run: &Run) -> Option<Duration> {
         let (_, _, group) = self.group_of(task)?;
-        Some(run.whole()? / self.factor(group))
+        Some(run.total_run_time()? / self.slowdown(group))
     }
 
     fn group_of(&self, task: &Task) -> Option<(&Entry, &Step, &Group)> {
@@ -116,51 +116,55 @@
     }
 
     /// Returns the factor by which a group is slower where it runs.
-    fn factor(&self, group: &Group) -> u32 {
-        let is_far = group.active().is_some_and(|active| active.is_far);
-        if is_far { self.options.remote_factor.max(1) } else { 1 }
+    fn slowdown(&self, group: &Group) -> u32 {
+        let is_remote = group.active().is_some_and(|active| active.is_remote);
+        if is_remote { self.options.remote_factor.max(1) } else { 1 }
     }
 
     /// Replaces the observed run times of the steps of open jobs.
-    fn note_seen(&mut self, seen: Vec<(String, u32, Seen)>) {
+    fn record_samples(&mut self, samples: Vec<(String, u32, Seen)>) {
         for id in &self.table.open {
             let Some(entry) = self.table.entries.get_mut(id) else { continue };
-            entry.seen.clear();
-            entry.seen.resize(entry.job.steps.len(), None);
+            entry.step_samples.clear();
+            entry.step_samples.resize(entry.job.steps.len(), None);
         }
-        for (job, step, seen) in seen {
+        for (job, step, sample) in samples {
             let entry = self.table.entries.get_mut(&job);
-            let known = entry.and_then(|entry| entry.seen.get_mut(step as usize));
-            if let Some(known) = known {
-                *known = Some(seen);
+            let slot = entry.and_then(|entry| entry.step_samples.get_mut(step as usize));
+            if let Some(slot) = slot {
+                *slot = Some(sample);
             }
         }
     }
 
-    fn faults(&self, now: Moment, times: &Times<'_>) -> Vec<(WorkerName, Task, Fault)> {
-        let mut faults = Vec::new();
+    fn check_runs(
+        &self,
+        now: Moment,
+        run_times: &RunTimes<'_>,
+    ) -> Vec<(WorkerName, Task, Finding)> {
+        let mut findings = Vec::new();
         for (name, worker) in &self.workers {
-            if !worker.is_fenced || now.steady > worker.heard + REPORT_AGE {
+            if !worker.is_fenced || now.steady > worker.last_contact + MAX_REPORT_AGE {
                 continue;
             }
             for (task, run) in &worker.runs {
-                if let Some(fault) = self.fault(now, name, task, run, times) {
-                    faults.push((name.clone(), task.clone(), fault));
+                if let Some(finding) = self.check_run(now, name, task, run, run_times) {
+                    findings.push((name.clone(), task.clone(), finding));
                 }
             }
         }
-        faults
+        findings
     }
 
     /// Checks a run. Returns `None` while nothing can be said of it yet.
-    fn fault(
+    fn check_run(
         &self,
         now: Moment,
         name: &str,
         task: &Task,
         run: &Run,
-        times: &Times<'_>,
-    ) -> Option<Fault> {
+        run_times: &RunTimes<'_>,
+    ) -> Option<Finding> {
         if run.phase != Phase::Running || run.percent >= 100 {
             return None;
         }
@@ -168,40 +172,40 @@
         if step.is_long_running {
             return None;
         }
-        let factor = self.factor(group);
-        let expected = self.expect(entry, task.step) * factor;
-        if is_still(run, run.moved, now.steady, expected) {
-            let since = run.moved.max(self.whole_since(task, step, group)?);
-            if !is_still(run, since, now.steady, expected) {
+        let slowdown = self.slowdown(group);
+        let expected = self.expected_run_time(entry, task.step) * slowdown;
+        if is_stalled(run, run.last_progress, now.steady, expected) {
+            let since = run.last_progress.max(self.all_running_since(task, step, group)?);
+            if !is_stalled(run, since, now.steady, expected) {
                 return None;
             }
-            let still = now.steady.saturating_sub(since);
-            let is_hopeless = pace::is_worth_restarting(still, run.unsaved_time());
-            return Some(Fault::Still { is_hopeless });
+            let stalled = now.steady.saturating_sub(since);
+            let should_move = pace::is_worth_restarting(stalled, run.unsaved_time());
+            return Some(Finding::Stalled { should_move });
         }
         let track = run.track?;
-        let whole = track.present(run.moved, run.percent)? / factor;
-        let others = self.others(entry, step, group, name, task, times);
-        let own = track.best().map(|best| same_task(best / factor));
-        match pace::judge(whole, own, &others) {
+        let total = track.present(run.last_progress, run.percent)? / slowdown;
+        let comparisons = self.comparisons(entry, step, group, name, task, run_times);
+        let own = track.best().map(|best| same_task(best / slowdown));
+        match pace::judge(total, own, &comparisons) {
             (Verdict::Unknown, _) => None,
-            (Verdict::Sound, _) => Some(Fault::None),
+            (Verdict::Sound, _) => Some(Finding::Normal),
             (Verdict::Slow, expected) => {
                 let left = 1.0 - f64::from(run.percent.min(100)) / 100.0;
-                let here = (whole * factor).mul_f64(left);
+                let here = (total * slowdown).mul_f64(left);
                 let share = if step.checkpoints { left } else { 1.0 };
                 let elsewhere = expected.centre.mul_f64(share);
                 // A run that is back on a worker that it was moved off has no better place.
                 let is_back = group.avoid.iter().any(|worker| worker == name);
-                let is_hopeless = !is_back && pace::is_worth_moving(here, elsewhere);
-                Some(Fault::Slow { whole, expected, is_hopeless })
+                let should_move = !is_back && pace::is_worth_moving(here, elsewhere);
+                Some(Finding::Slow { total, expected, should_move })
             }
         }
     }
 
     /// Returns the time since which all members of a gang's run have been running. Returns `None`
     /// while one has not started: the others make no progress without it.
-    fn whole_since(&self, task: &Task, step: &Step, group: &Group) -> Option<Duration> {
+    fn all_running_since(&self, task: &Task, step: &Step, group: &Group) -> Option<Duration> {
         if !step.is_gang {
             return Some(Duration::ZERO);
         }
@@ -210,65 +214,65 @@
             let run = self.workers.get(name)?.runs.get(&member)?;
             run.is_started.then_some(run.began)
         };
-        let seats = group.active()?.left.iter();
-        seats.map(began).try_fold(Duration::ZERO, |latest, began| Some(latest.max(began?)))
+        let members = group.active()?.unfinished.iter();
+        members.map(began).try_fold(Duration::ZERO, |latest, began| Some(latest.max(began?)))
     }
 
     /// Returns the run times to expect from earlier runs of the same task, from tasks of the same
     /// step on other workers, and from other jobs of the same kind. A declared time alone gives no
     /// evidence against a worker.
-    fn others(
+    fn comparisons(
         &self,
         entry: &Entry,
         step: &Step,
         group: &Group,
         name: &str,
         task: &Task,
-        times: &Times<'_>,
+        run_times: &RunTimes<'_>,
     ) -> Vec<Estimate> {
-        let is_elsewhere = |shown: &&Shown| shown.worker != name;
-        let earlier = group.known().filter(is_elsewhere);
-        let mut others: Vec<Estimate> =
-            earlier.map(|shown| same_task(shown.whole)).into_iter().collect();
-        let of_step = times.get(&(task.job.as_str(), task.step)).filter(|_| !step.is_gang);
-        if let Some(seen) = of_step.and_then(|times| seen(times, Some(name))) {
-            others.push(Estimate::of_siblings(seen));
+        let is_elsewhere = |observed: &&Observation| observed.worker != name;
+        let earlier = group.reliable_observation().filter(is_elsewhere);
+        let mut comparisons: Vec<Estimate> =
+            earlier.map(|observed| same_task(observed.run_time)).into_iter().collect();
+        let of_step = run_times.get(&(task.job.as_str(), task.step)).filter(|_| !step.is_gang);
+        if let Some(sample) = of_step.and_then(|run_times| median(run_times, Some(name))) {
+            comparisons.push(Estimate::of_siblings(sample));
         }
         let kind = estimate_kind(entry, step);
         if self.estimates.knows_kind(kind) {
             let declared = sapphire_jobs::length::declared(step);
-            others.push(self.estimates.estimate_kind(kind, declared));
+            comparisons.push(self.estimates.estimate_kind(kind, declared));
         }
-        others
+        comparisons
     }
 
     /// Reacts to the result of a check.
-    fn heed(&mut self, now: Moment, name: &str, task: &Task, fault: Fault) {
+    fn react(&mut self, now: Moment, name: &str, task: &Task, finding: Finding) {
         let policy = self.options.policy;
-        match fault {
-            Fault::None => {}
-            Fault::Still { is_hopeless } if policy.move_still => {
+        match finding {
+            Finding::Normal => {}
+            Finding::Stalled { should_move } if policy.move_still => {
                 self.suspects.stands_still(name, now.steady);
-                if is_hopeless {
-                    self.move_away(now, name, task, Cause::Still, "stands still");
+                if should_move {
+                    self.move_away(now, name, task, Cause::Stalled, "is stalled");
                 }
             }
             // Other work on this worker is at the expected speed, so the task is long rather than
             // the worker slow.
-            Fault::Slow { .. } if self.suspects.is_at_speed(name, now.steady) => {}
-            Fault::Slow { whole, expected, is_hopeless } if policy.move_slow => {
+            Finding::Slow { .. } if self.suspects.is_at_speed(name, now.steady) => {}
+            Finding::Slow { total, expected, should_move } if policy.move_slow => {
                 self.suspects.slowed(name, now.steady);
-                if is_hopeless {
+                if should_move {
                     let why = format!(
                         "is far too slow (whole_ms={} expected_ms={} spread={:.2})",
-                        whole.as_millis(),
+                        total.as_millis(),
                         expected.centre.as_millis(),
                         expected.spread
                     );
                     self.move_away(now, name, task, Cause::Slow, &why);
                 }
             }
-            Fault::Still { .. } | Fault::Slow { .. } => {}
+            Finding::Stalled { .. } | Finding::Slow { .. } => {}
         }
     }
 
@@ -283,7 +287,7 @@
         }
         // Any of a gang's workers may be the slow one, since all members run at its pace.
         let mut workers: BTreeSet<WorkerName> = match group.active() {
-            Some(active) if is_gang => active.left.values().cloned().collect(),
+            Some(active) if is_gang => active.unfinished.values().cloned().collect(),
             _ => BTreeSet::new(),
         };
         workers.retain(|worker| !self.suspects.is_at_speed(worker, now.steady));
@@ -291,7 +295,7 @@
             workers.insert(name.to_owned());
         }
         group.avoid.extend(workers);
-        self.log(format!("task={task} worker={name} {why}; stopped to go elsewhere"));
+        self.log(format!("task={task} worker={name} {why}; stopped to be moved to another worker"));
         self.stop_group(now.steady, &task.job, &key, &cause);
     }
 }
@@ -303,15 +307,15 @@
 
 /// Returns the median run time of a step, not counting the worker `without`. Several runs on one
 /// worker count as one, the shortest: otherwise a slow worker would outweigh the others.
-fn seen(times: &[Time<'_>], without: Option<&str>) -> Option<Seen> {
+fn median(run_times: &[RunTime<'_>], without: Option<&str>) -> Option<Seen> {
     let mut by_worker: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut all: Vec<Duration> = Vec::new();
-    for time in times.iter().filter(|time| time.worker.is_none() || time.worker != without) {
+    for time in run_times.iter().filter(|time| time.worker.is_none() || time.worker != without) {
         match time.worker {
-            None => all.push(time.whole),
+            None => all.push(time.total),
             Some(worker) => {
-                let least = by_worker.entry(worker).or_insert(time.whole);
-                *least = time.whole.min(*least);
+                let least = by_worker.entry(worker).or_insert(time.total);
+                *least = time.total.min(*least);
             }
         }
     }
@@ -322,7 +326,7 @@
 }
 
 /// Returns whether a run that should have made progress since a time has made none.
-fn is_still(run: &Run, since: Duration, now: Duration, expected: Duration) -> bool {
+fn is_stalled(run: &Run, since: Duration, now: Duration, expected: Duration) -> bool {
     let limit = pace::still_after(run.track.and_then(|track| track.best()), expected);
-    run.still >= STILL_LISTS && now > since + limit
+    run.stalled_lists >= STALLED_LISTS && now > since + limit
 }
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -10,7 +10,7 @@
 
 use sapphire_plan::pace;
 
-use crate::{event::Asker, options, state::feeds::Told};
+use crate::{event::Requester, options, state::feeds::Delivery};
 
 /// Phase of a run on a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
     /// The run is slow.
     Slow,
     /// The run is stalled.
-    Still,
+    Stalled,
     /// Its job was cancelled.
     Cancelled,
     /// Its job has failed.
@@ -48,7 +48,7 @@
     /// Reason of the stop.
     pub cause: Cause,
     /// Time of the decision.
-    pub since: Duration,
+    pub decided_at: Duration,
 }
 
 impl fmt::Display for Cause {
@@ -56,7 +56,7 @@
         match self {
             Cause::Urgent(job) => write!(f, "urgent for={job}"),
             Cause::Slow => f.write_str("slow"),
-            Cause::Still => f.write_str("still"),
+            Cause::Stalled => f.write_str("still"),
             Cause::Cancelled => f.write_str("cancelled"),
             Cause::JobFailed => f.write_str("job-failed"),
             Cause::Gang => f.write_str("gang"),
@@ -71,7 +71,7 @@
     /// Number of the run.
     pub number: RunNumber,
     /// Resources that it takes.
-    pub room: Room,
+    pub resources: Room,
     /// Phase of the run.
     pub phase: Phase,
     /// The stop of the run, once it has been decided.
@@ -85,29 +85,29 @@
     /// Progress when the run was first listed; above 0 if it continued from a checkpoint.
     pub first_percent: u32,
     /// Time at which the progress last grew.
-    pub moved: Duration,
+    pub last_progress: Duration,
     /// Pace of the run since its first progress.
     pub track: Option<pace::Track>,
     /// Number of lists without progress since then.
-    pub still: u32,
+    pub stalled_lists: u32,
     /// Latest checkpoint that was listed; empty for none.
     pub checkpoint: String,
     /// Time at which that checkpoint was first listed; without one, the time at which the run
     /// began.
-    pub saved: Duration,
+    pub checkpointed_at: Duration,
     /// Number of successive lists in which the run was missing although it had started.
-    pub absent: u32,
+    pub missing_lists: u32,
     /// Time at which the run was last listed.
-    pub seen: Duration,
+    pub last_listed: Duration,
     /// Time at which the minion was first known to run the task.
     pub began: Duration,
 }
 
 /// A poll of an agent that waits for orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct LongPoll {
     /// The request to answer.
-    pub asker: Asker,
+    pub requester: Requester,
     /// Time at which the poll arrived.
     pub since: Duration,
 }
@@ -129,37 +129,38 @@
     /// is complete.
     pub is_fenced: bool,
     /// The session began with a new incarnation of the minion, in which no earlier run goes on.
-    pub is_new_life: bool,
+    pub is_new_incarnation: bool,
     /// The worker has no minion, and any earlier minion has ended.
     pub is_vacant: bool,
     /// The agent is shutting down.
     pub is_leaving: bool,
     /// Time of the agent's latest poll.
-    pub heard: Duration,
+    pub last_contact: Duration,
     /// Time at which the last granted lease has certainly expired.
-    pub lapse_at: Duration,
+    pub lease_expires_at: Duration,
     /// Runs that may be on the worker.
     pub runs: BTreeMap<Task, Run>,
     /// Ends that were listed and are not acknowledged yet, by number, with the change of progress
     /// that must be durable first.
-    pub ended: BTreeMap<u64, Option<(JobId, u64)>>,
+    pub pending_ends: BTreeMap<u64, Option<(JobId, u64)>>,
     /// Number up to which ends are acknowledged and need not be listed any more.
-    pub noted: u64,
+    pub acknowledged: u64,
     /// The value of `acknowledged` that the agent was last sent.
-    pub noted_sent: u64,
+    pub acknowledged_sent: u64,
     /// Number of the latest list that the agent has received from the minion.
-    pub lists: u64,
+    pub list_number: u64,
     /// The agent's poll that waits for an answer.
-    pub held: Option<Held>,
+    pub long_poll: Option<LongPoll>,
     /// The list of entries that the agent was last sent.
-    pub(crate) entries_told: Told,
+    pub(crate) entries_sent: Delivery,
 }
 
 impl Worker {
     /// Returns the resources of the worker; nothing while its minion is not known.
     pub fn capacity(&self) -> Room {
-        let room = self.incarnation.as_ref().and_then(|incarnation| incarnation.capacity.as_ref());
-        Room::read(room)
+        let resources =
+            self.incarnation.as_ref().and_then(|incarnation| incarnation.capacity.as_ref());
+        Room::read(resources)
     }
 
     /// Returns the resources of all runs that are ordered, running or being stopped.
@@ -167,30 +168,30 @@
     /// Guards against overloading a minion that does not refuse tasks beyond its capacity: a task
     /// that is being stopped, or whose start is unanswered, still takes its resources.
     pub fn used(&self) -> Room {
-        self.runs.values().fold(Room::default(), |sum, run| sum.plus(run.room))
+        self.runs.values().fold(Room::default(), |sum, run| sum.plus(run.resources))
     }
 
     /// Returns whether the worker may be given tasks.
     pub fn is_open(&self, now: Duration) -> bool {
         let minion = self.incarnation.as_ref();
         let is_closed = minion.is_none_or(|minion| minion.is_draining || minion.is_silent);
-        let is_heard = now < self.heard + options::SILENCE;
-        self.is_fenced && !is_closed && !self.is_leaving && is_heard
+        let is_in_contact = now < self.last_contact + options::SILENCE_TIMEOUT;
+        self.is_fenced && !is_closed && !self.is_leaving && is_in_contact
     }
 
     /// Returns whether there are orders that the agent has not received.
     pub fn has_orders(&self) -> bool {
-        let is_news = |run: &Run| !run.is_received && run.phase != Phase::Running;
-        self.is_fenced && self.runs.values().any(is_news)
+        let is_new = |run: &Run| !run.is_received && run.phase != Phase::Running;
+        self.is_fenced && self.runs.values().any(is_new)
     }
 
     /// Returns whether the worker has a later run of the task than `number`.
-    pub fn holds_later(&self, task: &Task, number: RunNumber) -> bool {
+    pub fn has_later_run(&self, task: &Task, number: RunNumber) -> bool {
         self.runs.get(task).is_some_and(|run| run.number > number)
     }
 
     /// Updates a run from the minion's list of time `now`. Returns whether the run is known.
-    pub fn listed(
+    pub fn update_listed(
         &mut self,
         task: &Task,
         running: &Running,
@@ -205,118 +206,124 @@
         if run.phase == Phase::Ordered {
             run.phase = Phase::Running;
             run.began = now;
-            run.moved = now;
-            run.saved = now;
-            run.seen = now;
+            run.last_progress = now;
+            run.checkpointed_at = now;
+            run.last_listed = now;
             run.first_percent = running.percent;
             run.percent = running.percent;
         }
-        run.seen = run.seen.max(now);
+        run.last_listed = run.last_listed.max(now);
         if !running.checkpoint.is_empty() && running.checkpoint != run.checkpoint {
             run.checkpoint.clone_from(&running.checkpoint);
-            run.saved = now;
+            run.checkpointed_at = now;
         }
         if running.percent > run.percent {
-            let gap = now.saturating_sub(run.moved);
+            let gap = now.saturating_sub(run.last_progress);
             run.percent = running.percent;
-            run.moved = now;
-            run.still = 0;
+            run.last_progress = now;
+            run.stalled_lists = 0;
             let track = run.track.get_or_insert(pace::Track::new(now, running.percent));
             track.note(now, running.percent, gap);
         } else if is_new_list {
-            run.still += 1;
+            run.stalled_lists += 1;
         }
         true
     }
 
     /// Returns orders without starts and stops.
-    pub fn greeting(&self, term: u64, lease: Duration) -> Orders {
+    pub fn empty_orders(&self, term: u64, lease: Duration) -> Orders {
         let lease_ms = u64::try_from(lease.as_millis()).unwrap_or(u64::MAX);
-        Orders { term, token: self.token, lease_ms, noted: self.noted, ..Orders::default() }
+        Orders { term, token: self.token, lease_ms, noted: self.acknowledged, ..Orders::default() }
     }
 }
 
 impl Run {
     /// Returns a run of which only the number, the resources, the phase and the progress are known.
-    pub fn new(number: RunNumber, room: Room, phase: Phase, percent: u32, now: Duration) -> Self {
+    pub fn new(
+        number: RunNumber,
+        resources: Room,
+        phase: Phase,
+        percent: u32,
+        now: Duration,
+    ) -> Self {
         Run {
             number,
-            room,
+            resources,
             phase,
             stop: None,
             is_received: false,
             is_started: phase == Phase::Running,
             percent,
             first_percent: percent,
-            moved: now,
+            last_progress: now,
             track: None,
-            still: 0,
+            stalled_lists: 0,
             checkpoint: String::new(),
-            saved: now,
-            absent: 0,
-            seen: now,
+            checkpointed_at: now,
+            missing_lists: 0,
+            last_listed: now,
             began: now,
         }
     }
 
     /// Returns the total run time at the average pace of this run, once it has made enough progress
     /// to tell.
-    pub fn whole(&self) -> Option<Duration> {
+    pub fn total_run_time(&self) -> Option<Duration> {
         let gained = self.percent.saturating_sub(self.first_percent);
-        let ran = self.moved.saturating_sub(self.began);
-        (gained >= TELLING_PERCENT).then(|| ran.mul_f64(100.0 / f64::from(gained)))
+        let ran = self.last_progress.saturating_sub(self.began);
+        (gained >= MIN_GAINED_PERCENT).then(|| ran.mul_f64(100.0 / f64::from(gained)))
     }
 
     /// Returns the working time that would be repeated if the run were stopped while it is stalled.
     pub fn unsaved_time(&self) -> Duration {
-        self.moved.saturating_sub(self.saved.max(self.began))
+        self.last_progress.saturating_sub(self.checkpointed_at.max(self.began))
     }
 
     /// Returns the work that is lost if the run ends now without success, in processor seconds:
     /// what was done from its latest checkpoint until it was stopped or stalled. `healthy` is the
     /// total run time on a healthy worker; a slow run has done less work in its time.
-    pub fn unsaved(&self, now: Duration, sound: Duration) -> f64 {
+    pub fn unsaved_work(&self, now: Duration, healthy: Duration) -> f64 {
         if self.phase == Phase::Ordered {
             return 0.0;
         }
-        let since = self.saved.max(self.began);
+        let since = self.checkpointed_at.max(self.began);
         let (until, share) = match &self.stop {
-            Some(stop) if stop.cause == Cause::Still => (self.moved, 1.0),
-            Some(stop) if stop.cause == Cause::Slow => (stop.since, self.speed(sound)),
-            Some(stop) => (stop.since, 1.0),
+            Some(stop) if stop.cause == Cause::Stalled => (self.last_progress, 1.0),
+            Some(stop) if stop.cause == Cause::Slow => (stop.decided_at, self.speed(healthy)),
+            Some(stop) => (stop.decided_at, 1.0),
             None => (now, 1.0),
         };
-        self.room.weight() * until.saturating_sub(since).as_secs_f64() * share
+        self.resources.weight() * until.saturating_sub(since).as_secs_f64() * share
     }
 
     /// Returns the speed in relation to a healthy worker, at most 1.
-    fn speed(&self, sound: Duration) -> f64 {
-        let whole = self.whole().unwrap_or(sound).as_secs_f64();
-        (sound.as_secs_f64() / whole.max(f64::MIN_POSITIVE)).min(1.0)
+    fn speed(&self, healthy: Duration) -> f64 {
+        let run_time = self.total_run_time().unwrap_or(healthy).as_secs_f64();
+        (healthy.as_secs_f64() / run_time.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
     /// Returns the total run time of a run that has just succeeded; `None` if too little of it was
     /// observed.
-    pub fn whole_when_done(&self, now: Duration) -> Option<Duration> {
+    pub fn completed_run_time(&self, now: Duration) -> Option<Duration> {
         let gained = 100_u32.saturating_sub(self.first_percent);
         let ran = now.saturating_sub(self.began);
-        (gained >= TELLING_PERCENT).then(|| ran.mul_f64(100.0 / f64::from(gained)))
+        (gained >= MIN_GAINED_PERCENT).then(|| ran.mul_f64(100.0 / f64::from(gained)))
     }
 
     /// Returns how much longer it will run. Based on its pace, or on the expected run time while it
     /// has made too little progress to tell.
     pub fn remaining(&self, expected: Duration, now: Duration) -> Duration {
-        let since_moved = now.saturating_sub(self.moved);
-        let whole = self.whole().unwrap_or(expected);
-        let at_moved = whole.mul_f64(1.0 - f64::from(self.percent.min(100)) / 100.0);
-        at_moved.saturating_sub(since_moved)
+        let since_progress = now.saturating_sub(self.last_progress);
+        let run_time = self.total_run_time().unwrap_or(expected);
+        let at_last_progress = run_time.mul_f64(1.0 - f64::from(self.percent.min(100)) / 100.0);
+        at_last_progress.saturating_sub(since_progress)
     }
 }
 
 /// Progress, in per cent, that is needed to infer the run time.
-const TELLING_PERCENT: u32 = 10;
+const MIN_GAINED_PERCENT: u32 = 10;
 
 /// Returns whether a rejected start means that the run certainly does not exist and will not begin.
-pub fn is_settled(rejection: Rejection) -> bool {
+pub fn is_definite(rejection: Rejection) -> bool {
     !matches!(rejection, Rejection::None)
 }
