--- a/crates/planner/tests/harness/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -26,7 +26,7 @@
     Duration::from_millis(time)
 }
 
-pub(crate) fn room(accelerators: u64) -> Room {
+pub(crate) fn resources(accelerators: u64) -> Room {
     Room { millicores: 1_000, memory_mib: 1_000, accelerators }
 }
 
@@ -46,7 +46,13 @@
 }
 
 pub(crate) fn step(tasks: u32, is_gang: bool) -> Step {
-    Step { tasks, room: Some(room(1).message()), estimate_ms: 2_000, is_gang, ..Step::default() }
+    Step {
+        tasks,
+        room: Some(resources(1).message()),
+        estimate_ms: 2_000,
+        is_gang,
+        ..Step::default()
+    }
 }
 
 pub(crate) fn run(job: &str, index: u32, number: u32) -> Run {
@@ -60,13 +66,13 @@
         born_ms: 1,
         service: "desk".to_owned(),
         rack: "r".to_owned(),
-        capacity: Some(room(8).times(8).message()),
+        capacity: Some(resources(8).times(8).message()),
         ..Incarnation::default()
     }
 }
 
 /// A planner under test, with the effects that it has asked for.
-pub(crate) struct Bench {
+pub(crate) struct Fixture {
     pub(crate) planner: Planner,
     pub(crate) now: u64,
     pub(crate) orders: Vec<(u64, Orders)>,
@@ -76,19 +82,19 @@
     pub(crate) log: Vec<String>,
     pub(crate) sequence: BTreeMap<String, u64>,
     pub(crate) tokens: BTreeMap<String, u64>,
-    pub(crate) asker: u64,
+    pub(crate) requester: u64,
     /// Generations of the agents' processes, by worker.
     pub(crate) generations: BTreeMap<String, u64>,
 }
 
-impl Bench {
+impl Fixture {
     /// Returns a planner that has read the given records from the store.
     pub(crate) fn new(items: Vec<Item>) -> Self {
-        let mut bench = Bench::reading();
+        let mut fixture = Fixture::reading();
         let page = Reply::Items { items, has_more: false, revision: 40 };
-        bench.answer_store(page);
-        bench.answer_store(Reply::Committed(60));
-        bench
+        fixture.reply(page);
+        fixture.reply(Reply::Committed(60));
+        fixture
     }
 
     /// Returns a planner that has requested the first page of records from the store.
@@ -114,7 +120,7 @@
             policy: policy::Policy::default(),
         };
         let moment = Moment { steady: ms(START), unix: ms(START) };
-        let mut bench = Bench {
+        let mut fixture = Fixture {
             planner: Planner::new(options, TERM, Arc::new(catalog), moment),
             now: START,
             orders: Vec::new(),
@@ -124,18 +130,18 @@
             log: Vec::new(),
             sequence: BTreeMap::new(),
             tokens: BTreeMap::new(),
-            asker: 0,
+            requester: 0,
             generations: BTreeMap::new(),
         };
-        bench.tell(Event::Tick);
-        bench
+        fixture.handle(Event::Tick);
+        fixture
     }
 
-    pub(crate) fn tell(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         let moment = Moment { steady: ms(self.now), unix: ms(self.now) };
         for effect in self.planner.handle(moment, event) {
             match effect {
-                Effect::Orders(asker, orders) => self.orders.push((asker, *orders)),
+                Effect::Orders(requester, orders) => self.orders.push((requester, *orders)),
                 Effect::Feed(_, feed) => self.feeds.push(*feed),
                 Effect::Store(operation, call) => self.calls.push((operation, call)),
                 Effect::Deposed => self.is_deposed = true,
@@ -145,17 +151,17 @@
         }
     }
 
-    pub(crate) fn pass(&mut self, time: u64) {
+    pub(crate) fn advance(&mut self, time: u64) {
         for _ in 0..time / 50 {
             self.now += 50;
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
     /// Replies to the latest call to the store.
-    pub(crate) fn answer_store(&mut self, reply: Reply) {
+    pub(crate) fn reply(&mut self, reply: Reply) {
         let (operation, _) = self.calls.pop().expect("a call was made");
-        self.tell(Event::Store(operation, reply));
+        self.handle(Event::Store(operation, reply));
     }
 
     pub(crate) fn poll(&mut self, name: &str, running: Vec<Running>, ended: Vec<Ended>) {
@@ -176,17 +182,17 @@
             fenced_token: self.tokens.get(name).copied().unwrap_or(0),
             ..report
         };
-        self.asker += 1;
-        let asker = self.asker;
-        self.tell(Event::Poll(asker, Box::new(poll)));
-        let mine = self.orders.iter().filter(|(other, _)| *other == asker);
+        self.requester += 1;
+        let requester = self.requester;
+        self.handle(Event::Poll(requester, Box::new(poll)));
+        let mine = self.orders.iter().filter(|(other, _)| *other == requester);
         if let Some(token) = mine.map(|(_, orders)| orders.token).next_back() {
             self.tokens.insert(name.to_owned(), token);
         }
     }
 
     /// Restarts an agent; its minion goes on running.
-    pub(crate) fn restart(&mut self, name: &str) {
+    pub(crate) fn restart_agent(&mut self, name: &str) {
         *self.generations.entry(name.to_owned()).or_insert(1) += 1;
         self.tokens.remove(name);
     }
@@ -199,7 +205,7 @@
             self.calls.iter().position(|(operation, _)| *operation == Operation::Fleet)
         {
             let (operation, _) = self.calls.remove(at);
-            self.tell(Event::Store(operation, Reply::Committed(61)));
+            self.handle(Event::Store(operation, Reply::Committed(61)));
         }
     }
 
@@ -216,7 +222,7 @@
     }
 
     /// Returns the worker on which a task of a job is placed; empty if there is none.
-    pub(crate) fn placed(&self, id: &str) -> String {
+    pub(crate) fn worker_of(&self, id: &str) -> String {
         let worker = self
             .planner
             .workers()
--- a/crates/planner/tests/intake/mod.rs
+++ b/crates/planner/tests/intake/mod.rs
@@ -7,9 +7,9 @@
 };
 use sapphire_store::call::{Call, Item, Reply};
 
-use crate::harness::{Bench, TERM, fleet, item, job, step};
+use crate::harness::{Fixture, TERM, fleet, item, job, step};
 
-fn handed_in(id: &str) -> Item {
+fn submitted(id: &str) -> Item {
     item(keys::job(id), job(id, TERM, step(1, false)).encode_to_vec())
 }
 
@@ -18,30 +18,30 @@
 }
 
 /// Takes the latest intake call, which the test answers.
-fn asked(bench: &mut Bench) -> Call {
-    let at = bench.calls.iter().rposition(|(operation, _)| *operation == Operation::Intake);
-    bench.calls.remove(at.expect("it has asked")).1
+fn take_call(fixture: &mut Fixture) -> Call {
+    let at = fixture.calls.iter().rposition(|(operation, _)| *operation == Operation::Intake);
+    fixture.calls.remove(at.expect("an intake call was made")).1
 }
 
-fn answer(bench: &mut Bench, reply: Reply) {
-    bench.tell(Event::Store(Operation::Intake, reply));
+fn answer(fixture: &mut Fixture, reply: Reply) {
+    fixture.handle(Event::Store(Operation::Intake, reply));
 }
 
-fn is_known(bench: &Bench, id: &str) -> bool {
-    bench.planner.table().entries.contains_key(id)
+fn is_known(fixture: &Fixture, id: &str) -> bool {
+    fixture.planner.table().entries.contains_key(id)
 }
 
 /// Guards against an accepted job that a planner never learns of: the job was written into the
 /// range of the first page while the second page was read, and its entry died before it sent a
 /// notice.
 #[test]
-fn what_is_handed_in_during_the_first_scan_is_looked_up() {
-    let mut bench = Bench::reading();
-    bench.answer_store(page(vec![fleet(1, &[]), handed_in("m")], true, 100));
-    bench.answer_store(page(vec![handed_in("n")], false, 105));
-    bench.answer_store(Reply::Committed(106));
-    bench.pass(3_000);
-    match asked(&mut bench) {
+fn submissions_during_the_first_scan_are_found() {
+    let mut fixture = Fixture::reading();
+    fixture.reply(page(vec![fleet(1, &[]), submitted("m")], true, 100));
+    fixture.reply(page(vec![submitted("n")], false, 105));
+    fixture.reply(Reply::Committed(106));
+    fixture.advance(3_000);
+    match take_call(&mut fixture) {
         Call::WatchPrefix { after, .. } => assert_eq!(after, 100),
         other => panic!("{other:?}"),
     }
@@ -49,17 +49,17 @@
 
 /// Guards against the same fault during the scan that follows a loss of the store's history.
 #[test]
-fn what_is_handed_in_during_a_later_scan_is_looked_up() {
-    let mut bench = Bench::new(vec![fleet(1, &[])]);
-    bench.pass(3_000);
-    asked(&mut bench);
-    answer(&mut bench, Reply::HistoryGone);
-    asked(&mut bench);
-    answer(&mut bench, page(vec![handed_in("m")], true, 200));
-    asked(&mut bench);
-    answer(&mut bench, page(vec![handed_in("n")], false, 205));
-    bench.pass(3_000);
-    match asked(&mut bench) {
+fn submissions_during_a_later_scan_are_found() {
+    let mut fixture = Fixture::new(vec![fleet(1, &[])]);
+    fixture.advance(3_000);
+    take_call(&mut fixture);
+    answer(&mut fixture, Reply::HistoryGone);
+    take_call(&mut fixture);
+    answer(&mut fixture, page(vec![submitted("m")], true, 200));
+    take_call(&mut fixture);
+    answer(&mut fixture, page(vec![submitted("n")], false, 205));
+    fixture.advance(3_000);
+    match take_call(&mut fixture) {
         Call::WatchPrefix { after, .. } => assert_eq!(after, 200),
         other => panic!("{other:?}"),
     }
@@ -68,37 +68,37 @@
 /// Guards against pages that are never read: a page got no reply, and the intake went on from the
 /// revision of the previous page.
 #[test]
-fn a_page_without_an_answer_is_read_again() {
-    let mut bench = Bench::new(vec![fleet(1, &[])]);
-    bench.pass(3_000);
-    asked(&mut bench);
-    answer(&mut bench, Reply::HistoryGone);
-    asked(&mut bench);
-    answer(&mut bench, page(vec![handed_in("m")], true, 200));
-    asked(&mut bench);
-    answer(&mut bench, Reply::Unavailable("no answer".to_owned()));
-    bench.pass(3_000);
-    match asked(&mut bench) {
+fn a_page_without_a_reply_is_read_again() {
+    let mut fixture = Fixture::new(vec![fleet(1, &[])]);
+    fixture.advance(3_000);
+    take_call(&mut fixture);
+    answer(&mut fixture, Reply::HistoryGone);
+    take_call(&mut fixture);
+    answer(&mut fixture, page(vec![submitted("m")], true, 200));
+    take_call(&mut fixture);
+    answer(&mut fixture, Reply::Unavailable("no answer".to_owned()));
+    fixture.advance(3_000);
+    match take_call(&mut fixture) {
         Call::Scan { after, .. } => assert_eq!(after, keys::job("m")),
         other => panic!("{other:?}"),
     }
-    answer(&mut bench, page(vec![handed_in("n")], false, 205));
-    assert!(is_known(&bench, "m") && is_known(&bench, "n"));
+    answer(&mut fixture, page(vec![submitted("n")], false, 205));
+    assert!(is_known(&fixture, "m") && is_known(&fixture, "n"));
 }
 
 /// Guards against a planner that requests the first page thousands of times from a store that
 /// rejects calls.
 #[test]
-fn a_first_page_that_is_turned_away_is_asked_for_after_a_pause() {
-    let mut bench = Bench::reading();
-    let mut asked = 0;
+fn a_rejected_first_page_is_read_again_after_a_delay() {
+    let mut fixture = Fixture::reading();
+    let mut calls = 0;
     for _ in 0..20 {
-        while let Some((operation, _)) = bench.calls.pop() {
-            asked += 1;
-            bench.tell(Event::Store(operation, Reply::NotDone("busy".to_owned())));
-            assert!(asked < 100, "asked again at once");
+        while let Some((operation, _)) = fixture.calls.pop() {
+            calls += 1;
+            fixture.handle(Event::Store(operation, Reply::NotDone("busy".to_owned())));
+            assert!(calls < 100, "retried at once");
         }
-        bench.pass(50);
+        fixture.advance(50);
     }
-    assert!((5..=11).contains(&asked), "{asked} times in a second");
+    assert!((5..=11).contains(&calls), "{calls} times in a second");
 }
--- a/crates/planner/tests/terms/mod.rs
+++ b/crates/planner/tests/terms/mod.rs
@@ -6,7 +6,7 @@
 use sapphire_planner::{event::Event, keys};
 use sapphire_store::call::{Call, Item, Reply};
 
-use crate::harness::{Bench, TERM, ended, fleet, item, job, run, step};
+use crate::harness::{Fixture, TERM, ended, fleet, item, job, run, step};
 
 /// Guards against a task that is started more often than its queue allows. It failed once according
 /// to the store and once more during a change of planners; only its minion lists the second
@@ -17,16 +17,16 @@
         tallies: vec![Tally { failed_runs: vec![1], ..Tally::default() }],
         state: State::Active.into(),
     };
-    let mut bench = Bench::new(vec![
+    let mut fixture = Fixture::new(vec![
         fleet(1, &["a"]),
         item(keys::job("j"), job("j", 10, step(1, false)).encode_to_vec()),
         item(keys::progress("j"), progress.encode_to_vec()),
     ]);
-    bench.join("a", Vec::new(), vec![ended(1, run("j", 0, 2), Ending::Faulty)]);
-    bench.pass(2_000);
-    bench.poll("a", Vec::new(), Vec::new());
-    assert_eq!(bench.starts(), Vec::new());
-    let entry = &bench.planner.table().entries["j"];
+    fixture.join("a", Vec::new(), vec![ended(1, run("j", 0, 2), Ending::Faulty)]);
+    fixture.advance(2_000);
+    fixture.poll("a", Vec::new(), Vec::new());
+    assert_eq!(fixture.starts(), Vec::new());
+    let entry = &fixture.planner.table().entries["j"];
     assert_eq!(entry.state, State::Failed);
 }
 
@@ -34,33 +34,33 @@
 /// one. A task that may be running there is not started elsewhere before the worker's lease has
 /// certainly expired.
 #[test]
-fn what_an_unheard_worker_may_run_is_not_started() {
-    let mut bench = Bench::new(vec![
+fn a_task_that_an_unaccounted_worker_may_run_is_not_started() {
+    let mut fixture = Fixture::new(vec![
         fleet(1, &["a", "b"]),
         item(keys::job("j"), job("j", 10, step(1, false)).encode_to_vec()),
     ]);
-    bench.join("a", Vec::new(), Vec::new());
+    fixture.join("a", Vec::new(), Vec::new());
     for _ in 0..9 {
-        bench.pass(500);
-        bench.poll("a", Vec::new(), Vec::new());
+        fixture.advance(500);
+        fixture.poll("a", Vec::new(), Vec::new());
     }
-    assert_eq!(bench.starts(), Vec::new());
+    assert_eq!(fixture.starts(), Vec::new());
     for _ in 0..20 {
-        bench.pass(500);
-        bench.poll("a", Vec::new(), Vec::new());
+        fixture.advance(500);
+        fixture.poll("a", Vec::new(), Vec::new());
     }
-    assert_eq!(bench.starts().len(), 1, "the lease has run out and it waits for ever");
+    assert_eq!(fixture.starts().len(), 1, "the lease has expired, but the task was not started");
 }
 
 /// A job of this term cannot have been started by an earlier planner, so it does not wait for
 /// unaccounted workers.
 #[test]
 fn a_job_of_this_term_starts_at_once() {
-    let mut bench = Bench::new(vec![fleet(1, &["a", "b"])]);
-    bench.join("a", Vec::new(), Vec::new());
+    let mut fixture = Fixture::new(vec![fleet(1, &["a", "b"])]);
+    fixture.join("a", Vec::new(), Vec::new());
     let notice = Notice { jobs: vec![job("j", TERM, step(2, false))], cancelled: Vec::new() };
-    bench.tell(Event::Notice(notice));
-    let starts = bench.starts();
+    fixture.handle(Event::Notice(notice));
+    let starts = fixture.starts();
     assert_eq!(starts.len(), 2);
     assert!(starts.iter().all(|run| run.run == 1_001), "above any run of the term before");
 }
@@ -68,41 +68,41 @@
 /// A gang that lacks a member after a change of planners cannot continue: its remaining members are
 /// stopped, and the complete gang starts again.
 #[test]
-fn a_gang_that_is_not_whole_is_stopped() {
-    let mut bench = Bench::new(vec![
+fn an_incomplete_gang_is_stopped() {
+    let mut fixture = Fixture::new(vec![
         fleet(1, &["a"]),
         item(keys::job("j"), job("j", 10, step(2, true)).encode_to_vec()),
     ]);
     let part = Running { run: Some(run("j", 0, 1)), ..Running::default() };
-    bench.join("a", vec![part], Vec::new());
-    bench.pass(700);
-    assert_eq!(bench.stops(), vec![run("j", 0, 1)]);
-    bench.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1), Ending::Stopped)]);
-    bench.poll("a", Vec::new(), Vec::new());
-    assert_eq!(bench.starts().len(), 2);
+    fixture.join("a", vec![part], Vec::new());
+    fixture.advance(700);
+    assert_eq!(fixture.stops(), vec![run("j", 0, 1)]);
+    fixture.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1), Ending::Stopped)]);
+    fixture.poll("a", Vec::new(), Vec::new());
+    assert_eq!(fixture.starts().len(), 2);
 }
 
 /// Guards against a task that runs twice: the task is done, then the planner and the minion are
 /// lost. Unless the end was durable before the minion forgot it, the next planner would start the
 /// task again.
 #[test]
-fn an_end_is_durable_before_it_is_forgotten() {
-    let mut bench = Bench::new(vec![fleet(1, &["a"])]);
-    bench.join("a", Vec::new(), Vec::new());
+fn an_end_is_durable_before_it_is_acknowledged() {
+    let mut fixture = Fixture::new(vec![fleet(1, &["a"])]);
+    fixture.join("a", Vec::new(), Vec::new());
     let notice = Notice { jobs: vec![job("j", TERM, step(1, false))], cancelled: Vec::new() };
-    bench.tell(Event::Notice(notice));
-    bench.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1_001), Ending::Done)]);
-    bench.tell(Event::Feed(900, FeedPoll { entry: "e".to_owned(), ..FeedPoll::default() }));
-    bench.pass(700);
-    let noted = |bench: &Bench| bench.orders.last().map(|(_, orders)| orders.noted);
-    assert_eq!(noted(&bench), Some(0));
+    fixture.handle(Event::Notice(notice));
+    fixture.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1_001), Ending::Done)]);
+    fixture.handle(Event::Feed(900, FeedPoll { entry: "e".to_owned(), ..FeedPoll::default() }));
+    fixture.advance(700);
+    let acknowledged = |fixture: &Fixture| fixture.orders.last().map(|(_, orders)| orders.noted);
+    assert_eq!(acknowledged(&fixture), Some(0));
     assert!(
-        bench.feeds.iter().flat_map(|feed| &feed.rows).all(|row| row.state() != State::Complete)
+        fixture.feeds.iter().flat_map(|feed| &feed.rows).all(|row| row.state() != State::Complete)
     );
-    bench.answer_store(Reply::Committed(70));
-    bench.poll("a", Vec::new(), Vec::new());
-    bench.pass(700);
-    assert_eq!(noted(&bench), Some(1));
+    fixture.reply(Reply::Committed(70));
+    fixture.poll("a", Vec::new(), Vec::new());
+    fixture.advance(700);
+    assert_eq!(acknowledged(&fixture), Some(1));
 }
 
 /// Guards against a task that is done and starts again: a write of progress got no reply and was
@@ -110,12 +110,12 @@
 /// it builds on.
 #[test]
 fn a_write_of_progress_builds_on_a_revision() {
-    let mut bench = Bench::new(vec![fleet(1, &["a"])]);
-    bench.join("a", Vec::new(), Vec::new());
+    let mut fixture = Fixture::new(vec![fleet(1, &["a"])]);
+    fixture.join("a", Vec::new(), Vec::new());
     let notice = Notice { jobs: vec![job("j", TERM, step(1, false))], cancelled: Vec::new() };
-    bench.tell(Event::Notice(notice));
-    bench.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1_001), Ending::Done)]);
-    let (_, Call::Commit { conditions, .. }) = bench.calls.last().expect("progress is written")
+    fixture.handle(Event::Notice(notice));
+    fixture.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1_001), Ending::Done)]);
+    let (_, Call::Commit { conditions, .. }) = fixture.calls.last().expect("progress is written")
     else {
         panic!("progress is written under conditions")
     };
@@ -126,28 +126,28 @@
 
 /// A planner that was replaced without knowing it finds its successor's key, and stops.
 #[test]
-fn a_planner_whose_key_is_another_ones_stops() {
-    let mut bench = Bench::new(vec![fleet(1, &["a"])]);
-    bench.join("a", Vec::new(), Vec::new());
+fn a_planner_that_has_lost_the_leader_key_stops() {
+    let mut fixture = Fixture::new(vec![fleet(1, &["a"])]);
+    fixture.join("a", Vec::new(), Vec::new());
     let notice = Notice { jobs: vec![job("j", TERM, step(1, false))], cancelled: Vec::new() };
-    bench.tell(Event::Notice(notice));
-    bench.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1_001), Ending::Done)]);
+    fixture.handle(Event::Notice(notice));
+    fixture.poll("a", Vec::new(), vec![ended(1, run("j", 0, 1_001), Ending::Done)]);
     let lead = Item { key: keys::LEAD.to_owned(), value: Some(Bytes::new()), revision: TERM + 9 };
-    bench.answer_store(Reply::Refused(vec![lead]));
-    assert!(bench.is_deposed);
+    fixture.reply(Reply::Refused(vec![lead]));
+    assert!(fixture.is_deposed);
 }
 
 /// Unreadable records of another writer in the store cost nothing but a log line.
 #[test]
-fn records_that_cannot_be_read_are_passed_over() {
-    let mut bench = Bench::new(vec![
+fn unreadable_records_are_skipped() {
+    let mut fixture = Fixture::new(vec![
         fleet(1, &["a"]),
         item(keys::job("bad"), b"\xff\xff\xff".to_vec()),
         item("s/else".to_owned(), b"?".to_vec()),
         item(keys::job("j"), job("j", 10, step(1, false)).encode_to_vec()),
     ]);
-    bench.join("a", Vec::new(), Vec::new());
-    assert_eq!(bench.starts().len(), 1);
+    fixture.join("a", Vec::new(), Vec::new());
+    assert_eq!(fixture.starts().len(), 1);
 }
 
 /// Guards against a gang that runs twice at the same time. A new planner knows of one member only,
@@ -157,22 +157,22 @@
 #[test]
 fn a_gang_does_not_start_while_a_member_of_an_earlier_run_is_there() {
     let gang = job("g", TERM - 1, step(2, true));
-    let mut bench =
-        Bench::new(vec![fleet(1, &["a", "b"]), item(keys::job("g"), gang.encode_to_vec())]);
+    let mut fixture =
+        Fixture::new(vec![fleet(1, &["a", "b"]), item(keys::job("g"), gang.encode_to_vec())]);
     let running = |index| Running { run: Some(run("g", index, 1)), ..Running::default() };
-    bench.join("c", Vec::new(), Vec::new());
-    bench.join("a", vec![running(1)], Vec::new());
-    bench.poll("a", Vec::new(), vec![ended(1, run("g", 1, 1), Ending::Stopped)]);
-    bench.join("b", vec![running(0)], Vec::new());
-    bench.pass(300);
-    bench.poll("c", Vec::new(), Vec::new());
-    assert_eq!(bench.starts(), Vec::new());
-    assert_eq!(bench.stops().first(), Some(&run("g", 0, 1)));
-    bench.poll("b", Vec::new(), vec![ended(1, run("g", 0, 1), Ending::Broken)]);
-    bench.pass(300);
-    bench.poll("a", Vec::new(), Vec::new());
-    bench.poll("c", Vec::new(), Vec::new());
-    assert_eq!(bench.starts().len(), 2);
+    fixture.join("c", Vec::new(), Vec::new());
+    fixture.join("a", vec![running(1)], Vec::new());
+    fixture.poll("a", Vec::new(), vec![ended(1, run("g", 1, 1), Ending::Stopped)]);
+    fixture.join("b", vec![running(0)], Vec::new());
+    fixture.advance(300);
+    fixture.poll("c", Vec::new(), Vec::new());
+    assert_eq!(fixture.starts(), Vec::new());
+    assert_eq!(fixture.stops().first(), Some(&run("g", 0, 1)));
+    fixture.poll("b", Vec::new(), vec![ended(1, run("g", 0, 1), Ending::Broken)]);
+    fixture.advance(300);
+    fixture.poll("a", Vec::new(), Vec::new());
+    fixture.poll("c", Vec::new(), Vec::new());
+    assert_eq!(fixture.starts().len(), 2);
 }
 
 /// Guards against work that is done again after a loss of power: no end of the run is ever
@@ -180,26 +180,26 @@
 #[test]
 fn saved_progress_outlives_a_loss_of_power() {
     let saving = Step { checkpoints: true, ..step(1, false) };
-    let mut bench = Bench::new(vec![fleet(1, &["a"])]);
-    bench.join("a", Vec::new(), Vec::new());
+    let mut fixture = Fixture::new(vec![fleet(1, &["a"])]);
+    fixture.join("a", Vec::new(), Vec::new());
     let jobs = vec![job("j", TERM, saving.clone())];
-    bench.tell(Event::Notice(Notice { jobs, ..Notice::default() }));
-    let started = bench.starts().pop().expect("it is started");
+    fixture.handle(Event::Notice(Notice { jobs, ..Notice::default() }));
+    let started = fixture.starts().pop().expect("it is started");
     let listed = |percent, checkpoint: &str| Running {
         run: Some(started.clone()),
         percent,
         checkpoint: checkpoint.to_owned(),
         ..Running::default()
     };
-    bench.poll("a", vec![listed(10, "")], Vec::new());
-    bench.poll("a", vec![listed(40, "c1")], Vec::new());
-    bench.pass(2_100);
-    let written = bench.calls.iter().find_map(|(_, call)| match call {
+    fixture.poll("a", vec![listed(10, "")], Vec::new());
+    fixture.poll("a", vec![listed(40, "c1")], Vec::new());
+    fixture.advance(2_100);
+    let written = fixture.calls.iter().find_map(|(_, call)| match call {
         Call::Commit { puts, .. } => puts.iter().find(|put| put.key == keys::progress("j")),
         _ => None,
     });
     let value = written.expect("the checkpoint is made durable").value.to_vec();
-    let mut next = Bench::new(vec![
+    let mut next = Fixture::new(vec![
         fleet(1, &["a"]),
         item(keys::job("j"), job("j", 10, saving).encode_to_vec()),
         item(keys::progress("j"), value),
@@ -216,15 +216,15 @@
 fn run_times_outlive_a_planner() {
     let tally = |index| Tally { index, is_done: true, took_ms: 20_000, ..Tally::default() };
     let progress = Progress { tallies: (0..6).map(tally).collect(), state: State::Active.into() };
-    let mut bench = Bench::new(vec![
+    let mut fixture = Fixture::new(vec![
         fleet(1, &["a"]),
         item(keys::job("j"), job("j", 10, step(7, false)).encode_to_vec()),
         item(keys::progress("j"), progress.encode_to_vec()),
     ]);
-    bench.join("a", Vec::new(), Vec::new());
+    fixture.join("a", Vec::new(), Vec::new());
     let jobs = vec![job("other", TERM, step(1, false))];
-    bench.tell(Event::Notice(Notice { jobs, ..Notice::default() }));
-    let objective = (bench.log.iter())
+    fixture.handle(Event::Notice(Notice { jobs, ..Notice::default() }));
+    let objective = (fixture.log.iter())
         .find_map(|line| line.strip_prefix("job=other ")?.split("objective_ms=").nth(1))
         .and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
     assert!(objective.is_some_and(|objective| objective > 30_000), "{objective:?}");
--- a/crates/planner/tests/urgent/mod.rs
+++ b/crates/planner/tests/urgent/mod.rs
@@ -8,7 +8,7 @@
     worker::{Phase, Run},
 };
 
-use crate::harness::{Bench, START, TERM, ended, job, room, step};
+use crate::harness::{Fixture, START, TERM, ended, job, resources, step};
 
 /// Minions that start every ordered task and end every stopped one at once; no task ends by itself.
 #[derive(Default)]
@@ -18,55 +18,57 @@
 }
 
 impl Minions {
-    fn answer_all(&mut self, bench: &mut Bench, names: &[&str]) {
+    fn answer_all(&mut self, fixture: &mut Fixture, names: &[&str]) {
         for name in names {
-            self.answer(bench, name);
+            self.answer(fixture, name);
         }
-        bench.pass(100);
+        fixture.advance(100);
     }
 
-    fn answer(&mut self, bench: &mut Bench, name: &str) {
-        let runs: Vec<(Task, Run)> = (bench.planner.workers()[name].runs.iter())
+    fn answer(&mut self, fixture: &mut Fixture, name: &str) {
+        let runs: Vec<(Task, Run)> = (fixture.planner.workers()[name].runs.iter())
             .map(|(task, run)| (task.clone(), run.clone()))
             .collect();
         let mut running = Vec::new();
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (task, run) in runs {
-            let told = Some(task.run(run.number));
+            let listed = Some(task.run(run.number));
             if run.phase == Phase::Stopping {
                 let number = self.ends.entry(name.to_owned()).or_default();
                 *number += 1;
                 self.stopped += 1;
-                over.push(ended(*number, task.run(run.number), Ending::Stopped));
+                finished.push(ended(*number, task.run(run.number), Ending::Stopped));
             } else {
-                let percent = 90 + u32::try_from((bench.now - START) / 4_000).expect("a short day");
-                running.push(Running { run: told, percent, ..Running::default() });
+                let percent =
+                    90 + u32::try_from((fixture.now - START) / 4_000).expect("a short run");
+                running.push(Running { run: listed, percent, ..Running::default() });
             }
         }
-        bench.poll(name, running, over);
+        fixture.poll(name, running, finished);
     }
 }
 
 /// Returns a planner with workers that each run eight small tasks, which according to their
 /// progress are about to end.
-fn full(names: &[&str]) -> (Bench, Minions) {
-    let mut bench = Bench::new(Vec::new());
+fn full_workers(names: &[&str]) -> (Fixture, Minions) {
+    let mut fixture = Fixture::new(Vec::new());
     for name in names {
-        bench.join(name, Vec::new(), Vec::new());
+        fixture.join(name, Vec::new(), Vec::new());
     }
     let tasks = u32::try_from(names.len() * 8).expect("a few workers");
-    let small = Step { room: Some(room(4).message()), estimate_ms: 20_000, ..step(tasks, false) };
+    let small =
+        Step { room: Some(resources(4).message()), estimate_ms: 20_000, ..step(tasks, false) };
     let jobs = vec![job("small", TERM, small)];
-    bench.tell(Event::Notice(Notice { jobs, ..Notice::default() }));
+    fixture.handle(Event::Notice(Notice { jobs, ..Notice::default() }));
     let mut minions = Minions::default();
     for _ in 0..15 {
-        minions.answer_all(&mut bench, names);
+        minions.answer_all(&mut fixture, names);
     }
-    (bench, minions)
+    (fixture, minions)
 }
 
 fn urgent(id: &str, accelerators: u64) -> Job {
-    let room = Some(room(accelerators).message());
+    let room = Some(resources(accelerators).message());
     let task = Step { tasks: 1, room, estimate_ms: 3_000, ..Step::default() };
     Job { queue: "urgent".to_owned(), priority: 0, ..job(id, TERM, task) }
 }
@@ -76,39 +78,39 @@
 /// them, but they do not end. With each new choice the resources released by earlier stops went to
 /// the stopped tasks again, and as many tasks were stopped on another worker.
 #[test]
-fn room_for_an_urgent_task_is_kept_where_it_was_chosen() {
+fn resources_for_an_urgent_task_are_kept_where_they_were_chosen() {
     let names = ["w1", "w2", "w3", "w4"];
-    let (mut bench, mut minions) = full(&names);
-    let handed_in = bench.now;
-    let accepted_ms = handed_in;
+    let (mut fixture, mut minions) = full_workers(&names);
+    let submitted = fixture.now;
+    let accepted_ms = submitted;
     let whole = Job { accepted_ms, ..urgent("whole", 64) };
-    bench.tell(Event::Notice(Notice { jobs: vec![whole], ..Notice::default() }));
-    while bench.placed("whole").is_empty() && bench.now < handed_in + 15_000 {
-        minions.answer_all(&mut bench, &names);
+    fixture.handle(Event::Notice(Notice { jobs: vec![whole], ..Notice::default() }));
+    while fixture.worker_of("whole").is_empty() && fixture.now < submitted + 15_000 {
+        minions.answer_all(&mut fixture, &names);
     }
     let stopped = minions.stopped;
-    let waited = bench.now - handed_in;
+    let waited = fixture.now - submitted;
     assert!(waited < 4_500, "started after {waited} ms");
-    assert!(stopped <= 8, "{stopped} tasks were stopped for one that takes the room of 8");
+    assert!(stopped <= 8, "{stopped} tasks were stopped for one that takes the resources of 8");
 }
 
 /// Guards against resources that are promised twice: of two urgent jobs that each need a whole
 /// worker, both waited for the end of the same work, since the first promise was not counted, and
 /// the second job had to wait again.
 #[test]
-fn room_that_is_promised_is_not_promised_again() {
+fn promised_resources_are_not_promised_again() {
     let names = ["w1", "w2", "w3"];
-    let (mut bench, mut minions) = full(&names);
-    let handed_in = bench.now;
-    let whole = |id| Job { accepted_ms: handed_in, ..urgent(id, 64) };
+    let (mut fixture, mut minions) = full_workers(&names);
+    let submitted = fixture.now;
+    let whole = |id| Job { accepted_ms: submitted, ..urgent(id, 64) };
     let jobs = vec![whole("a")];
-    bench.tell(Event::Notice(Notice { jobs, ..Notice::default() }));
-    minions.answer_all(&mut bench, &names);
-    bench.tell(Event::Notice(Notice { jobs: vec![whole("b")], ..Notice::default() }));
-    while bench.now < handed_in + 4_500 {
-        minions.answer_all(&mut bench, &names);
+    fixture.handle(Event::Notice(Notice { jobs, ..Notice::default() }));
+    minions.answer_all(&mut fixture, &names);
+    fixture.handle(Event::Notice(Notice { jobs: vec![whole("b")], ..Notice::default() }));
+    while fixture.now < submitted + 4_500 {
+        minions.answer_all(&mut fixture, &names);
     }
-    let (first, second) = (bench.placed("a"), bench.placed("b"));
+    let (first, second) = (fixture.worker_of("a"), fixture.worker_of("b"));
     assert!(!first.is_empty() && !second.is_empty(), "placed on {first:?} and {second:?}");
     assert_ne!(first, second);
 }
@@ -120,16 +122,16 @@
 #[test]
 fn a_wide_urgent_job_does_not_clear_the_fleet() {
     let names = ["w1", "w2", "w3", "w4"];
-    let (mut bench, mut minions) = full(&names);
-    let room = Some(room(64).message());
+    let (mut fixture, mut minions) = full_workers(&names);
+    let room = Some(resources(64).message());
     let step = Step { tasks: 6, room, estimate_ms: 3_000, ..Step::default() };
-    let accepted_ms = bench.now;
+    let accepted_ms = fixture.now;
     let wide = Job { steps: vec![step], accepted_ms, slack_milli: 1_500, ..urgent("wide", 64) };
-    bench.tell(Event::Notice(Notice { jobs: vec![wide], ..Notice::default() }));
+    fixture.handle(Event::Notice(Notice { jobs: vec![wide], ..Notice::default() }));
     for _ in 0..40 {
-        minions.answer_all(&mut bench, &names);
+        minions.answer_all(&mut fixture, &names);
     }
-    assert!(!bench.placed("wide").is_empty(), "it has begun");
+    assert!(!fixture.worker_of("wide").is_empty(), "it has begun");
     assert_eq!(minions.stopped, 8, "one worker is enough for six waves");
 }
 
@@ -140,12 +142,12 @@
 fn a_clock_that_is_far_behind_makes_no_job_late() {
     const BEHIND: u64 = 40_000;
     let names = ["w1", "w2"];
-    let (mut bench, mut minions) = full(&names);
-    let accepted_ms = bench.now - BEHIND;
+    let (mut fixture, mut minions) = full_workers(&names);
+    let accepted_ms = fixture.now - BEHIND;
     let jobs = vec![Job { accepted_ms, ..urgent("urgent", 32) }];
-    bench.tell(Event::Notice(Notice { jobs, ..Notice::default() }));
+    fixture.handle(Event::Notice(Notice { jobs, ..Notice::default() }));
     for _ in 0..40 {
-        minions.answer_all(&mut bench, &names);
+        minions.answer_all(&mut fixture, &names);
     }
-    assert_ne!(bench.placed("urgent"), "", "room was made for it");
+    assert_ne!(fixture.worker_of("urgent"), "", "resources were released for it");
 }
