--- a/crates/planner/src/event.rs
+++ b/crates/planner/src/event.rs
@@ -44,7 +44,7 @@
     /// An entry reports what it has written to the store.
     Notice(Notice),
     /// A requester has closed its connection.
-    Left(Requester),
+    Disconnected(Requester),
     /// The store has replied.
     Store(Operation, Reply),
     /// The configuration has changed to this one.
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -142,7 +142,7 @@
             Event::Poll(requester, poll) => self.handle_poll(now, requester, *poll),
             Event::Feed(requester, poll) => self.handle_feed_poll(now, requester, poll),
             Event::Notice(notice) => self.handle_notice(now, notice),
-            Event::Left(requester) => self.disconnected(requester),
+            Event::Disconnected(requester) => self.disconnected(requester),
             Event::Store(operation, reply) => self.handle_reply(now, operation, reply),
             Event::Catalog(catalog) => {
                 self.catalog = catalog;
--- a/crates/sapphired/src/jobs_entry/mod.rs
+++ b/crates/sapphired/src/jobs_entry/mod.rs
@@ -148,7 +148,7 @@
                     self.levels.info("front", &text);
                 }
                 self.front_event(now, front::event::Event::Left(caller));
-                self.planner_event(now, planner::event::Event::Left(caller));
+                self.planner_event(now, planner::event::Event::Disconnected(caller));
             }
             Event::Net(NetEvent::Answer { call, result }) => self.answered(now, call, result),
             Event::Net(NetEvent::NotAccepted { kind, .. }) => {
