--- a/crates/planner/src/event.rs
+++ b/crates/planner/src/event.rs
@@ -50,7 +50,7 @@
     /// The configuration has changed to this one.
     Catalog(Arc<Catalog>),
     /// A configuration was verified to be the newest.
-    Fresh {
+    CatalogVerified {
         /// Revision of the configuration.
         revision: u64,
         /// Steady time of the verification.
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -148,7 +148,7 @@
                 self.catalog = catalog;
                 self.needs_pass = true;
             }
-            Event::Fresh { revision, at } => self.verified_catalog = Some((revision, at)),
+            Event::CatalogVerified { revision, at } => self.verified_catalog = Some((revision, at)),
             Event::Tick => self.tick(now),
         }
     }
--- a/crates/proofs/src/jobs/world/entries.rs
+++ b/crates/proofs/src/jobs/world/entries.rs
@@ -85,7 +85,7 @@
                     self.tell_planner(entry, life, planner::event::Event::Catalog(catalog));
                 }
                 Effect::Fresh { revision, at } => {
-                    let event = planner::event::Event::Fresh { revision, at };
+                    let event = planner::event::Event::CatalogVerified { revision, at };
                     self.tell_planner(entry, life, event);
                 }
                 Effect::Plan(term) => {
--- a/crates/sapphired/src/jobs_entry/effects.rs
+++ b/crates/sapphired/src/jobs_entry/effects.rs
@@ -50,7 +50,7 @@
                 self.planner_event(now, planner::event::Event::Catalog(catalog));
             }
             Effect::Fresh { revision, at } => {
-                self.planner_event(now, planner::event::Event::Fresh { revision, at });
+                self.planner_event(now, planner::event::Event::CatalogVerified { revision, at });
             }
             Effect::Plan(term) => {
                 let options = options::planner(&self.settings);
