--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -130,13 +130,13 @@
 
     /// Handles an event and returns the effects to carry out.
     pub fn handle(&mut self, now: Moment, event: Event) -> Vec<Effect> {
-        self.take(now, event);
-        self.settle(now)
+        self.apply(now, event);
+        self.advance(now)
     }
 
-    /// Applies an event. Its consequences follow with the next [`Planner::settle`], so that events
+    /// Applies an event. Its consequences follow with the next [`Planner::advance`], so that events
     /// that arrive together cost one pass.
-    pub fn take(&mut self, now: Moment, event: Event) {
+    pub fn apply(&mut self, now: Moment, event: Event) {
         self.load.events += 1;
         match event {
             Event::Poll(requester, poll) => self.handle_poll(now, requester, *poll),
@@ -155,8 +155,8 @@
 
     /// Records the duration of the latest pass, which ended at `until`. On a processor that is too
     /// slow for a pass with each event, passes thus leave time for polls and callers.
-    pub fn pass_took(&mut self, until: Duration, took: Duration) {
-        self.next_pass = until + took * PASS_DELAY_FACTOR;
+    pub fn record_pass_duration(&mut self, until: Duration, duration: Duration) {
+        self.next_pass = until + duration * PASS_DELAY_FACTOR;
     }
 
     fn tick(&mut self, now: Moment) {
@@ -178,7 +178,7 @@
 
     /// Does what has become due after the applied events: a pass, writes, and answers to polls.
     /// Returns the effects to carry out.
-    pub fn settle(&mut self, now: Moment) -> Vec<Effect> {
+    pub fn advance(&mut self, now: Moment) -> Vec<Effect> {
         if self.needs_pass && self.startup.is_serving() && now.steady >= self.next_pass {
             self.needs_pass = false;
             self.load.passes += 1;
--- a/crates/planner/tests/load/mod.rs
+++ b/crates/planner/tests/load/mod.rs
@@ -26,9 +26,9 @@
     let (now, before) = (moment(&fixture), fixture.planner.load());
     for number in 0..40 {
         let event = notice(&fixture, number);
-        fixture.planner.take(now, event);
+        fixture.planner.apply(now, event);
     }
-    let effects = fixture.planner.settle(now);
+    let effects = fixture.planner.advance(now);
     let after = fixture.planner.load();
     assert_eq!(after.events - before.events, 40);
     assert_eq!(after.passes - before.passes, 1);
@@ -53,7 +53,7 @@
         if passes > earlier {
             // Each pass takes as long as the interval between two events.
             let took = Duration::from_millis(10);
-            fixture.planner.pass_took(ms(fixture.now) + took, took);
+            fixture.planner.record_pass_duration(ms(fixture.now) + took, took);
             fixture.now += 10;
         }
     }
--- a/crates/sapphired/src/jobs_entry/planning.rs
+++ b/crates/sapphired/src/jobs_entry/planning.rs
@@ -10,7 +10,7 @@
     pub(super) fn planner_event(&mut self, now: Moment, event: planner::event::Event) {
         if let Some(planner) = &mut self.planner {
             let began = clock::now();
-            planner.take(now, event);
+            planner.apply(now, event);
             self.meter.event(clock::now().saturating_sub(began));
         }
     }
@@ -20,13 +20,13 @@
         let now = reactor::now();
         let Some(planner) = &mut self.planner else { return };
         let passes = planner.load().passes;
-        let effects = planner.settle(now);
+        let effects = planner.advance(now);
         let load = planner.load();
         let end = clock::now();
         let took = end.saturating_sub(now.steady);
         let is_pass = load.passes > passes;
         if is_pass {
-            planner.pass_took(end, took);
+            planner.record_pass_duration(end, took);
         }
         self.meter.turn(took, is_pass);
         if is_pass {
