--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -242,7 +242,7 @@
             return Vec::new();
         }
         let since = *self.stale_since.get_or_insert(now);
-        if is_store_reached(since) || now >= since + planner::OUTAGE {
+        if is_store_reached(since) || now >= since + planner::MAX_STORE_OUTAGE {
             self.log("the planner's key can't be renewed; plans no more".to_owned());
             self.stale_since = None;
             self.resign();
--- a/crates/planner/src/options.rs
+++ b/crates/planner/src/options.rs
@@ -41,7 +41,7 @@
 /// Maximum time for which a planner goes on after its leader lease has expired while no entry
 /// reaches the store. It exceeds the common outages of a few seconds. A successor waits for this
 /// time if an agent does not answer.
-pub const OUTAGE: Duration = Duration::from_secs(5);
+pub const MAX_STORE_OUTAGE: Duration = Duration::from_secs(5);
 /// Time for which progress may wait to be written together with other progress, unless it completes
 /// a job.
 pub const WRITE_DELAY: Duration = Duration::from_millis(250);
--- a/crates/planner/src/startup.rs
+++ b/crates/planner/src/startup.rs
@@ -257,7 +257,7 @@
             workers.get(name).is_some_and(|worker| worker.is_fenced || worker.is_vacant)
         };
         self.startup.unaccounted.retain(|name| !is_known(name));
-        let wait = self.options.lease_expiry() + options::OUTAGE;
+        let wait = self.options.lease_expiry() + options::MAX_STORE_OUTAGE;
         if !self.startup.unaccounted.is_empty() && now.steady < self.startup.began + wait {
             return;
         }
