--- a/crates/planner/src/options.rs
+++ b/crates/planner/src/options.rs
@@ -16,11 +16,11 @@
     /// Maximum clock drift of a minion: how much its clock may run slow, in thousandths.
     pub clock_drift_milli: u32,
     /// Maximum time for which a task may run on after it was told to stop.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
     /// Time for which the state of a job is kept after its end.
-    pub status: Duration,
+    pub status_retention: Duration,
     /// Time from its submission within which a guaranteed job must have started.
-    pub reclaim: Duration,
+    pub reclaim_deadline: Duration,
     /// Factor by which tasks are slower away from their data or off their gang's rack.
     pub remote_factor: u32,
     /// Mechanisms that are switched on.
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -386,7 +386,7 @@
         let expected = self.expected_run_time(entry, key.step);
         let extra = expected * self.options.remote_factor.saturating_sub(1);
         let is_urgent = is_guaranteed
-            && Self::age(entry, now) >= self.options.reclaim.mul_f64(REMOTE_START_SHARE);
+            && Self::age(entry, now) >= self.options.reclaim_deadline.mul_f64(REMOTE_START_SHARE);
         let fits_near = || {
             let emptied = |place: &Place| Place { free: place.capacity, ..place.clone() };
             let places: Vec<Place> = pool.places.iter().map(emptied).collect();
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -298,7 +298,7 @@
 
     /// Removes jobs that ended long ago.
     fn remove_ended(&mut self, now: Moment) {
-        let retention = self.options.status + options::FEED_TIMEOUT;
+        let retention = self.options.status_retention + options::FEED_TIMEOUT;
         let is_old = |entry: &Entry| {
             entry.ended.is_some_and(|ended| now.steady >= ended + retention)
                 && entry.dirty.is_none()
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -35,7 +35,7 @@
         }
         self.look_up_candidates(now, pool, guaranteed);
         let remaining = |candidate: &clear::Candidate| {
-            if candidate.is_stopping { self.options.stop } else { candidate.remaining }
+            if candidate.is_stopping { self.options.stop_timeout } else { candidate.remaining }
         };
         let running: Vec<Running<'_>> = (pool.candidates.iter())
             .map(|it| Running { remaining: remaining(it), seats: &it.victim.seats })
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -60,7 +60,7 @@
         self.load.searches += 1;
         let Some((job, limit)) = self.wait_parameters(now, urgent) else { return };
         let limit = if self.options.policy.weigh_waits { limit } else { Duration::ZERO };
-        let stop = self.options.stop;
+        let stop = self.options.stop_timeout;
         let Pool { places, candidates, .. } = &*pool;
         let choice = clear::weigh(places, candidates, urgent.to_plan(), &job, limit, stop);
         if let Some(choice) = choice {
@@ -106,7 +106,7 @@
         self.look_up_candidates(now, pool, guaranteed);
         self.load.searches += 1;
         // Free resources need no stop, so the place that was chosen first is usually kept.
-        let (stop, no_wait) = (self.options.stop, Duration::ZERO);
+        let (stop, no_wait) = (self.options.stop_timeout, Duration::ZERO);
         let Pool { places, candidates, .. } = &*pool;
         let choice = clear::choose(places, candidates, urgent.to_plan(), no_wait, stop);
         if let Some(choice) = choice {
@@ -127,7 +127,7 @@
         let Choice { wait, stops, seats, cost, .. } = choice;
         let assignment = |seat: &Seat| (pool.places[seat.place].worker.to_string(), seat.tasks);
         let assignments = seats.iter().map(assignment).collect();
-        let until = now.steady + wait.max(self.options.stop) + END_REPORT_DELAY;
+        let until = now.steady + wait.max(self.options.stop_timeout) + END_REPORT_DELAY;
         let claim = Claim { until, assignments };
         pool.apply_claim(&claim, demand);
         let Some(entry) = self.table.entries.get_mut(id) else { return };
@@ -167,7 +167,7 @@
             latency: settings.target_latency,
         };
         let limit = if urgent.is_guaranteed {
-            self.options.reclaim.saturating_sub(age + self.options.stop + OVERHEAD)
+            self.options.reclaim_deadline.saturating_sub(age + self.options.stop_timeout + OVERHEAD)
         } else {
             clear::LONGEST_WAIT
         };
--- a/crates/planner/tests/harness/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -113,9 +113,9 @@
             lease: ms(6_000),
             longest_lease: ms(10_000),
             clock_drift_milli: 20,
-            stop: ms(400),
-            status: ms(120_000),
-            reclaim: ms(2_900),
+            stop_timeout: ms(400),
+            status_retention: ms(120_000),
+            reclaim_deadline: ms(2_900),
             remote_factor: 3,
             policy: policy::Policy::default(),
         };
--- a/crates/proofs/src/jobs/world/settings.rs
+++ b/crates/proofs/src/jobs/world/settings.rs
@@ -27,9 +27,9 @@
         lease: Duration::from_secs(6),
         longest_lease: super::HOLD,
         clock_drift_milli: 20,
-        stop: Duration::from_millis(400),
-        status: Duration::from_secs(120),
-        reclaim: Duration::from_millis(2_900),
+        stop_timeout: Duration::from_millis(400),
+        status_retention: Duration::from_secs(120),
+        reclaim_deadline: Duration::from_millis(2_900),
         remote_factor: 3,
         policy,
     }
--- a/crates/sapphired/src/jobs_entry/options.rs
+++ b/crates/sapphired/src/jobs_entry/options.rs
@@ -58,9 +58,9 @@
         lease: millis(bounds.lease_limit_ms).mul_f64(LEASE_SHARE).min(MAX_LEASE),
         longest_lease: millis(bounds.lease_limit_ms),
         clock_drift_milli: CLOCK_DRIFT_MILLI,
-        stop: millis(bounds.stop_ms),
-        status: millis(bounds.status_ms),
-        reclaim: millis(bounds.reclaim_ms),
+        stop_timeout: millis(bounds.stop_ms),
+        status_retention: millis(bounds.status_ms),
+        reclaim_deadline: millis(bounds.reclaim_ms),
         remote_factor: bounds.remote_factor,
         policy: settings.policy.map_or_else(Policy::default, policy),
     }
