--- a/crates/planner/src/accept.rs
+++ b/crates/planner/src/accept.rs
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Logs an accepted job.
     fn log_accepted(&mut self, id: &str) {
         let Some(entry) = self.table.entries.get(id) else { return };
         let steps: Vec<String> = entry.job.steps.iter().map(describe).collect();
--- a/crates/planner/src/commit.rs
+++ b/crates/planner/src/commit.rs
@@ -64,6 +64,7 @@
         Call::Commit { conditions, puts, removes: Vec::new() }
     }
 
+    /// Handles the reply to a write of progress.
     pub(crate) fn progress_written(&mut self, now: Moment, jobs: Vec<(JobId, u64)>, reply: Reply) {
         self.commits.is_writing = false;
         match reply {
@@ -81,6 +82,7 @@
         }
     }
 
+    /// Records that a change of a job's progress is durable.
     fn progress_committed(&mut self, id: &str, change: u64, revision: u64) {
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         entry.revision = revision;
--- a/crates/planner/src/ends.rs
+++ b/crates/planner/src/ends.rs
@@ -175,6 +175,7 @@
         }
     }
 
+    /// Records that a group has succeeded. Returns the change that must be durable.
     fn group_done(&mut self, now: Moment, id: &str, key: &GroupKey) -> Option<(JobId, u64)> {
         let entry = self.table.entries.get_mut(id)?;
         let group = entry.groups.get_mut(key)?;
@@ -194,6 +195,7 @@
         Some((id.to_owned(), change))
     }
 
+    /// Logs the completion of a job.
     fn log_done(&mut self, now: Moment, id: &str) {
         let Some(entry) = self.table.entries.get(id) else { return };
         let (objective, age) = (self.objective(entry), Self::age(entry, now));
--- a/crates/planner/src/feed.rs
+++ b/crates/planner/src/feed.rs
@@ -22,6 +22,8 @@
             .any(|subscriber| subscriber.store_reached.is_some_and(reached))
     }
 
+    /// Handles an entry's poll. It is answered when there are changes or when it has waited long
+    /// enough.
     pub(crate) fn handle_feed_poll(&mut self, now: Moment, requester: Requester, poll: FeedPoll) {
         let term = self.term;
         let subscriber = self.feeds.subscribers.entry(poll.entry).or_insert_with(|| Subscriber {
@@ -70,6 +72,7 @@
         }
     }
 
+    /// Returns the changes since the version `known`; everything if that is 0.
     fn feed(&self, now: Moment, known: u64) -> Feed {
         let changed = self.table.entries.iter().filter(|(_, entry)| entry.version > known);
         let rows = changed.map(|(id, entry)| Row {
--- a/crates/planner/src/group.rs
+++ b/crates/planner/src/group.rs
@@ -34,7 +34,7 @@
     pub unfinished: Assignments,
     /// The planner is stopping the tasks.
     pub is_stopping: bool,
-    /// The run is away from its data, or on several racks although it wants one.
+    /// The run is away from its data, or on several racks although it prefers one.
     pub is_remote: bool,
     /// Checkpoint that the run started from; empty for none. All members of a gang start from the
     /// same.
--- a/crates/planner/src/intake.rs
+++ b/crates/planner/src/intake.rs
@@ -18,6 +18,7 @@
 };
 
 impl Planner {
+    /// Handles the notice of an entry about what it has written to the store.
     pub(crate) fn handle_notice(&mut self, now: Moment, notice: Notice) {
         if !self.startup.is_serving() {
             // The entry sends the notice again, and the scan in progress may contain the job
@@ -56,6 +57,7 @@
         self.effects.push(Effect::Store(Operation::Intake, call));
     }
 
+    /// Handles the reply to a read of newly submitted jobs and cancellations.
     pub(crate) fn handle_intake(&mut self, now: Moment, reply: Reply) {
         self.intake.is_reading = false;
         self.intake.next_read = now.steady + options::INTAKE_INTERVAL;
--- a/crates/planner/src/options.rs
+++ b/crates/planner/src/options.rs
@@ -9,7 +9,7 @@
 pub struct Options {
     /// Name of the entry that plans.
     pub name: String,
-    /// Time for which a minion may go on running after the latest poll of its agent.
+    /// Duration of a minion's lease, counted from the latest poll of its agent.
     pub lease: Duration,
     /// Longest lease that a minion accepts, whatever it is granted.
     pub longest_lease: Duration,
@@ -74,6 +74,8 @@
         self.expiry_of(self.longest_lease.max(self.lease))
     }
 
+    /// Returns the time in which a lease certainly expires: its duration, the clock drift and a
+    /// margin.
     fn expiry_of(&self, lease: Duration) -> Duration {
         lease + lease * self.clock_drift_milli / 1_000 + TIMING_MARGIN
     }
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -138,6 +138,7 @@
         groups.collect()
     }
 
+    /// Returns the data that decide the order of a job.
     fn job_rank(&self, now: Moment, entry: &Entry, is_guaranteed: bool) -> rank::Job {
         rank::Job {
             priority: self.queue_settings(entry).priority,
@@ -150,6 +151,7 @@
         }
     }
 
+    /// Returns what a group needs from the workers.
     fn demand(&self, entry: &Entry, key: &GroupKey) -> Option<Ask> {
         let step = entry.step(key.step)?;
         let group = entry.groups.get(key)?;
@@ -184,6 +186,7 @@
         self.workers.iter().filter_map(count).collect()
     }
 
+    /// Tries to start a group, or to have resources released for it.
     fn try_group(
         &mut self,
         now: Moment,
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -106,7 +106,8 @@
     unfinished
 }
 
-/// Returns whether a group would run away from its data, or on several racks although it wants one.
+/// Returns whether a group would run away from its data, or on several racks although it prefers
+/// one.
 fn is_remote(pool: &Pool, demand: &Ask, seats: &[Seat]) -> bool {
     let mut racks = seats.iter().map(|seat| &*pool.places[seat.place].rack);
     let first = racks.clone().next();
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -29,7 +29,7 @@
     worker::{Cause, Phase, Stop, Worker},
 };
 
-/// A planner.
+/// The planner of one term: a state machine that handles events and returns effects.
 pub struct Planner {
     pub(crate) options: Options,
     /// Revision of the leader key, which numbers the term.
@@ -159,6 +159,7 @@
         self.next_pass = until + duration * PASS_DELAY_FACTOR;
     }
 
+    /// Does the periodic work.
     fn tick(&mut self, now: Moment) {
         self.feeds.refresh(now.steady);
         self.expire_workers(now);
@@ -192,6 +193,7 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// Adds a log line to the effects.
     pub(crate) fn log(&mut self, text: String) {
         self.effects.push(Effect::Log(text));
     }
--- a/crates/planner/src/polls.rs
+++ b/crates/planner/src/polls.rs
@@ -21,6 +21,7 @@
 }
 
 impl Planner {
+    /// Handles an agent's poll. It is answered later, unless it begins a session or is stale.
     pub(crate) fn handle_poll(&mut self, now: Moment, requester: Requester, poll: Poll) {
         let name = poll.agent.clone();
         if !self.workers.contains_key(&name) {
@@ -67,6 +68,7 @@
         self.unanswered.report(now.steady, name, &poll.unanswered);
     }
 
+    /// Answers a worker's poll with the session's token, without starts and stops.
     fn send_empty_orders(&mut self, name: &str) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(long_poll) = worker.long_poll.take() else { return };
@@ -153,7 +155,8 @@
         is_new_session
     }
 
-    /// Removes a worker without a minion: nothing runs there, and a successor need not wait for it.
+    /// Ends all runs of a worker without a minion and removes the worker from the stored list:
+    /// nothing runs there, and a successor need not wait for it.
     fn remove_vacant(&mut self, now: Moment, name: &str) {
         self.lose_runs(now, name, "worker has no minion");
         self.remove_member(name);
@@ -203,6 +206,7 @@
         }
     }
 
+    /// Answers a worker's poll with the orders that its agent has not received.
     fn send_orders(&mut self, now: Moment, name: &str, requester: Requester) {
         let worker = self.workers.get(name).expect("the caller has listed it");
         let mut orders = worker.empty_orders(self.term, self.options.lease);
@@ -225,6 +229,7 @@
         self.effects.push(Effect::Orders(requester, Box::new(orders)));
     }
 
+    /// Returns the order to start a run.
     fn start_order(&self, task: &Task, run: &Run) -> Option<Start> {
         let entry = self.table.entries.get(&task.job)?;
         let is_gang = entry.step(task.step)?.is_gang;
@@ -237,6 +242,7 @@
         })
     }
 
+    /// Logs starts and stops.
     fn log_orders(&mut self, name: &str, orders: &Orders) {
         let names = |runs: Vec<&sapphire_jobs::Run>| {
             let name = |run: &&sapphire_jobs::Run| format!("{}#{}", Task::read(run), run.run);
--- a/crates/planner/src/pool.rs
+++ b/crates/planner/src/pool.rs
@@ -94,6 +94,7 @@
 }
 
 impl Planner {
+    /// Returns the workers of a service that may be given tasks now.
     pub(crate) fn pool(&self, now: Moment, service: &str) -> Pool {
         let mut places = Vec::new();
         let mut index = BTreeMap::new();
@@ -130,6 +131,7 @@
         }
     }
 
+    /// Returns how much a worker is to be avoided.
     fn suspicion(&self, name: &str, now: Duration) -> Doubt {
         if self.options.policy.doubt_workers { self.suspects.doubt(name, now) } else { Doubt::None }
     }
--- a/crates/planner/src/reconcile.rs
+++ b/crates/planner/src/reconcile.rs
@@ -101,8 +101,7 @@
     /// Ends runs that had started and are missing from lists without an end.
     ///
     /// Guards against a group that waits forever for an end that was lost. Runs whose start is
-    /// unanswered are left alone: such a start may still be carried out, and its agent invalidates
-    /// it.
+    /// unanswered are left alone: such a start may still be carried out, and its agent fences it.
     fn end_missing_runs(&mut self, now: Moment, name: &str, poll: &Poll) {
         let is_listed = |task: &Task, number: u32| {
             let mut runs = poll.running.iter().filter_map(|running| running.run.as_ref());
@@ -128,7 +127,7 @@
     }
 
     /// Ends runs that are not in the first list of a session. That list is complete as to starts:
-    /// the token has invalidated every start that is not in it. It may omit a task that is being
+    /// the token has fenced every start that is not in it. It may omit a task that is being
     /// stopped. The end of such a task is still to come, or later lists omit it for longer than a
     /// stop takes.
     fn end_unlisted_runs(&mut self, now: Moment, name: &str, poll: &Poll) {
@@ -151,6 +150,7 @@
         }
     }
 
+    /// Handles an end in a list, unless it was handled before.
     fn handle_end(&mut self, now: Moment, name: &str, ended: &sapphire_jobs::Ended) {
         let worker = self.workers.get(name).expect("the caller has inserted it");
         if ended.number <= worker.acknowledged || worker.pending_ends.contains_key(&ended.number) {
@@ -163,6 +163,7 @@
         worker.pending_ends.insert(ended.number, change);
     }
 
+    /// Handles the answer to a start: a rejected run counts as lost.
     fn handle_verdict(
         &mut self,
         now: Moment,
@@ -201,6 +202,7 @@
         }
     }
 
+    /// Returns the resources of a run, and whether it is adopted into its group.
     fn adoption(&mut self, now: Moment, name: &str, task: &Task, number: u32) -> (Room, bool) {
         let Some(entry) = self.table.entries.get_mut(&task.job) else {
             return (Room::default(), false);
@@ -236,6 +238,7 @@
         }
     }
 
+    /// Ends all runs of a worker as lost.
     pub(crate) fn lose_runs(&mut self, now: Moment, name: &str, why: &str) {
         let Some(worker) = self.workers.get(name) else { return };
         let runs: Vec<(Task, u32)> =
--- a/crates/planner/src/startup.rs
+++ b/crates/planner/src/startup.rs
@@ -21,10 +21,12 @@
 };
 
 impl Planner {
+    /// Begins to read the records of the store.
     pub(crate) fn begin(&mut self) {
         self.scan(String::new());
     }
 
+    /// Requests the page of records after a key.
     fn scan(&mut self, after: String) {
         let prefix = keys::ALL.to_owned();
         let call = Call::Scan { prefix, after, may_be_stale: false };
@@ -62,6 +64,7 @@
         self.load_records(now);
     }
 
+    /// Loads the records that were read, and begins to record the term in the store.
     fn load_records(&mut self, now: Moment) {
         let items = std::mem::take(&mut self.startup.items);
         let mut progress = Vec::new();
@@ -121,6 +124,7 @@
         }
     }
 
+    /// Adds a job from its record.
     fn load_job(&mut self, now: Moment, id: &str, value: &Bytes) {
         match Job::decode(&value[..]) {
             Ok(job) => {
@@ -131,6 +135,7 @@
         }
     }
 
+    /// Loads the list of workers of earlier planners.
     fn load_fleet(&mut self, value: &Bytes, revision: Revision) {
         self.startup.fleet_revision = revision;
         match Fleet::decode(&value[..]) {
@@ -145,6 +150,7 @@
         }
     }
 
+    /// Closes loaded jobs that have ended, and adds the due occurrences of the others.
     fn prepare_loaded_jobs(&mut self, now: Moment) {
         let is_over = |entry: &Entry| entry.is_over();
         let ended: Vec<String> = (self.table.entries.iter())
@@ -218,6 +224,7 @@
         is_deposed
     }
 
+    /// Begins to serve agents and entries, once the term is recorded in the store.
     fn serve(&mut self, now: Moment) {
         self.startup.phase = Phase::Serving;
         let (term, took) = (self.term, now.steady.saturating_sub(self.startup.began));
--- a/crates/planner/src/state/intake.rs
+++ b/crates/planner/src/state/intake.rs
@@ -27,6 +27,7 @@
 }
 
 impl Intake {
+    /// Begins to watch after the scan at the start of the term.
     pub(crate) fn start(&mut self, now: Duration, revision: Revision) {
         self.revision = revision;
         self.next_read = now + options::INTAKE_INTERVAL;
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -133,6 +133,7 @@
         is_any
     }
 
+    /// Returns how often the job runs.
     fn repetitions(&self) -> u32 {
         self.job.schedule.as_ref().map_or(1, |schedule| schedule.times)
     }
@@ -226,6 +227,7 @@
         step.after.iter().all(|earlier| self.is_step_done(key.occurrence, *earlier))
     }
 
+    /// Returns whether all tasks of a step are done.
     fn is_step_done(&self, occurrence: u32, step: u32) -> bool {
         let mut groups = self.groups.range(step_groups(occurrence, step)).peekable();
         groups.peek().is_some() && groups.all(|(_, group)| group.phase == Phase::Done)
--- a/crates/planner/src/unanswered.rs
+++ b/crates/planner/src/unanswered.rs
@@ -49,8 +49,8 @@
 /// Unanswered starts on all workers.
 ///
 /// Guards against a task that runs twice. A stop that was answered, a later run or a token
-/// invalidates an earlier start for one incarnation of a minion only. The next incarnation carries
-/// the start out unless it has seen a token by then. So a task with such a start is placed on no
+/// fences an earlier start in one incarnation of a minion only. The next incarnation carries the
+/// start out unless it has seen a token by then. So a task with such a start is placed on no
 /// other worker until the start has expired. On the same worker it may be placed, since its runs
 /// there end with the minion's incarnation.
 #[derive(Clone, Debug, Default)]
@@ -188,16 +188,19 @@
         self.by_task.range::<Task, _>(tasks).map(|(task, starts)| (task, starts.keys()))
     }
 
+    /// Returns the name of a worker's minion, if known.
     fn minion(&self, worker: &str) -> Option<&str> {
         self.by_worker.get(worker)?.minion.as_deref()
     }
 
+    /// Returns the start of a task on a worker; adds it if there is none.
     fn start(&mut self, worker: &str, task: Task) -> &mut Start {
         let record = self.by_worker.entry(worker.to_owned()).or_default();
         record.tasks.insert(task.clone());
         self.by_task.entry(task).or_default().entry(worker.to_owned()).or_default()
     }
 
+    /// Applies a change to all starts of a worker.
     fn for_each_start(&mut self, worker: &str, change: impl Fn(&mut Start)) {
         let Some(record) = self.by_worker.get(worker) else { return };
         for task in &record.tasks {
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -41,6 +41,7 @@
 }
 
 impl Urgent<'_> {
+    /// Returns the group as the search for work to stop needs it.
     fn to_plan(&self) -> clear::Urgent<'_> {
         clear::Urgent { ask: self.demand, reach: self.reach, is_guaranteed: self.is_guaranteed }
     }
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -108,6 +108,7 @@
         Some(run.total_run_time()? / self.slowdown(group))
     }
 
+    /// Returns the job, the step and the group of a task.
     fn group_of(&self, task: &Task) -> Option<(&Entry, &Step, &Group)> {
         let entry = self.table.entries.get(&task.job)?;
         let step = entry.step(task.step)?;
@@ -137,6 +138,7 @@
         }
     }
 
+    /// Checks all runs of which there is a recent report.
     fn check_runs(
         &self,
         now: Moment,
@@ -276,6 +278,7 @@
         }
     }
 
+    /// Stops a group because of a faulty run, so that it starts on other workers.
     fn move_away(&mut self, now: Moment, name: &str, task: &Task, cause: Cause, why: &str) {
         let Some(entry) = self.table.entries.get_mut(&task.job) else { return };
         let Some(step) = entry.step(task.step) else { return };
--- a/crates/planner/tests/late/mod.rs
+++ b/crates/planner/tests/late/mod.rs
@@ -207,7 +207,7 @@
     }
 }
 
-/// Guards against a task that runs twice: a stop invalidated its start, and the minion's next
+/// Guards against a task that runs twice: a stop fenced its start, and the minion's next
 /// incarnation carries the start out while the task runs elsewhere.
 #[test]
 fn a_task_with_an_unanswered_start_goes_nowhere_else() {
--- a/crates/planner/tests/terms/mod.rs
+++ b/crates/planner/tests/terms/mod.rs
@@ -175,8 +175,9 @@
     assert_eq!(fixture.starts().len(), 2);
 }
 
-/// Guards against work that is done again after a loss of power: no end of the run is ever
-/// reported, but the minion had listed its checkpoint. The next planner starts the task from there.
+/// Guards against twenty seconds of work that are done again after a loss of power: no end of the
+/// run is ever reported, but the minion had listed its checkpoint. The next planner starts the task
+/// from there.
 #[test]
 fn saved_progress_outlives_a_loss_of_power() {
     let saving = Step { checkpoints: true, ..step(1, false) };
