--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -23,13 +23,13 @@
         id: &str,
         key: &GroupKey,
         demand: &Ask,
-        seats: &[Seat],
+        assignments: &[Seat],
     ) {
         let first = (self.startup.term_number - 1) * options::RUNS_PER_TERM + 1;
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         let Some(group) = entry.groups.get_mut(key) else { return };
-        let unfinished = allocate(pool, key.index, demand, seats);
-        let is_remote = is_remote(pool, demand, seats);
+        let unfinished = allocate(pool, key.index, demand, assignments);
+        let is_remote = is_remote(pool, demand, assignments);
         let number = first.max(group.run + 1);
         let waited = now.steady.saturating_sub(group.waiting_since).as_millis();
         group.run = number;
@@ -88,14 +88,14 @@
 
 /// Allocates the resources of a group's tasks, which are numbered from `first`, and returns the
 /// worker of each.
-fn allocate(pool: &mut Pool, first: u32, demand: &Ask, seats: &[Seat]) -> Assignments {
+fn allocate(pool: &mut Pool, first: u32, demand: &Ask, assignments: &[Seat]) -> Assignments {
     let mut unfinished = BTreeMap::new();
     let mut bound = demand.bound.clone();
     let mut free = (0..demand.tasks).filter(|offset| !demand.bound.contains_key(offset));
-    for seat in seats {
-        pool.allocate(seat.place, demand.room.times(seat.tasks.into()));
-        let place = &pool.places[seat.place];
-        for _ in 0..seat.tasks {
+    for assignment in assignments {
+        pool.allocate(assignment.place, demand.room.times(assignment.tasks.into()));
+        let place = &pool.places[assignment.place];
+        for _ in 0..assignment.tasks {
             let own = bound.iter().find(|(_, worker)| **worker == *place.worker);
             let own = own.map(|(offset, _)| *offset);
             let Some(offset) = own.or_else(|| free.next()) else { continue };
@@ -108,8 +108,8 @@
 
 /// Returns whether a group would run away from its data, or on several racks although it prefers
 /// one.
-fn is_remote(pool: &Pool, demand: &Ask, seats: &[Seat]) -> bool {
-    let mut racks = seats.iter().map(|seat| &*pool.places[seat.place].rack);
+fn is_remote(pool: &Pool, demand: &Ask, assignments: &[Seat]) -> bool {
+    let mut racks = assignments.iter().map(|assignment| &*pool.places[assignment.place].rack);
     let first = racks.clone().next();
     let is_scattered = demand.wants_one_rack && racks.clone().any(|rack| Some(rack) != first);
     let is_away = !demand.near_rack.is_empty() && racks.any(|rack| *rack != *demand.near_rack);
--- a/crates/planner/tests/progress/mod.rs
+++ b/crates/planner/tests/progress/mod.rs
@@ -56,7 +56,7 @@
 /// on that worker and waited for a different one, and the pass assumed that there were no resources
 /// for this one either.
 #[test]
-fn a_task_that_avoids_a_worker_does_not_keep_its_siblings_off_it() {
+fn a_task_that_avoids_a_worker_does_not_keep_others_off_it() {
     let mut fixture = Fixture::new(Vec::new());
     for name in ["w1", "w2"] {
         fixture.join(name, Vec::new(), Vec::new());
