--- a/crates/jobs/src/catalog.rs
+++ b/crates/jobs/src/catalog.rs
@@ -1,103 +1,103 @@
-//! The operators' configuration: queues, services and organisations.
+//! The configuration that operators maintain: queues, services and organisations.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Number of a configuration; grows with each.
+/// Version number of a configuration; each new configuration has a higher one.
 pub type Version = u64;
 
-/// One configuration, whole.
+/// One complete configuration, indexed for look-ups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Its version.
+    /// Version number of this configuration.
     pub version: Version,
-    /// Revision of its key in the store.
+    /// Revision of the store key that holds this configuration.
     pub revision: u64,
     queues: Vec<Queue>,
     services: BTreeMap<String, Service>,
     organisations: BTreeMap<String, Organisation>,
-    /// Queues by host.
-    hosts: BTreeMap<String, Vec<usize>>,
-    /// Queues by name.
-    names: BTreeMap<String, usize>,
-    /// Organisations by key.
-    keys: BTreeMap<String, String>,
+    /// Indices into `queues` by host name.
+    queues_by_host: BTreeMap<String, Vec<usize>>,
+    /// Indices into `queues` by queue name.
+    queues_by_name: BTreeMap<String, usize>,
+    /// Names of organisations by API key.
+    organisations_by_key: BTreeMap<String, String>,
 }
 
-/// A queue of jobs.
+/// A queue that callers submit jobs to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: String,
-    /// Host that its callers name, in lower case.
+    /// Host name under which callers reach the queue, in lower case.
     pub host: String,
-    /// What the paths of its jobs begin with.
+    /// Prefix of the request paths that belong to the queue.
     pub prefix: String,
-    /// Whose minions run its tasks.
+    /// Name of the service whose minions run the queue's tasks.
     pub service: String,
-    /// 0 goes first and may preempt others.
+    /// Priority of the queue's jobs. 0 is the highest and may preempt the others.
     pub priority: u32,
-    /// Runs of a task that may fail before the job does.
+    /// Number of runs of a task that may fail before the job fails.
     pub max_attempts: u32,
-    /// Objective in multiples of the longest chain of work.
+    /// Completion objective as a multiple of the job's critical path.
     pub slack: f64,
-    /// What the objective has beside that.
+    /// Fixed time that is added to that multiple.
     pub target_latency: Duration,
-    /// Its callers need no key.
+    /// Whether callers may submit jobs without an API key.
     pub is_open: bool,
 }
 
-/// A service whose minions run tasks.
+/// A group of minions that run the tasks of the same queues.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Its minions refuse what doesn't fit.
+    /// Whether the service's minions refuse tasks that exceed their free resources.
     pub guards_room: bool,
-    /// Its workers are switched off.
+    /// Whether the service's workers are on standby, that is, switched off.
     pub is_standby: bool,
-    /// Where its minions say whether they are well.
+    /// Path at which the service's minions report their health.
     pub health_path: String,
 }
 
-/// A customer.
+/// A customer, to whom API keys and guarantees belong.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Organisation {
-    /// Its name; any text.
+    /// Name of the organisation. Any text is allowed.
     pub name: String,
-    /// Keys that its callers may use.
+    /// API keys that callers of the organisation may use.
     pub keys: Vec<String>,
-    /// Accelerators that its jobs of priority 0 can always have.
+    /// Number of accelerators that are guaranteed to the organisation's jobs of priority 0.
     pub guaranteed_accelerators: u32,
 }
 
-/// Parts of a configuration.
+/// The parts that a [`Catalog`] is built from.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
-    /// Version.
+    /// Version number of the configuration.
     pub version: Version,
-    /// Revision in the store.
+    /// Revision of the store key that holds the configuration.
     pub revision: u64,
-    /// Queues.
+    /// All queues.
     pub queues: Vec<Queue>,
-    /// Services.
+    /// All services.
     pub services: Vec<Service>,
-    /// Organisations.
+    /// All organisations.
     pub organisations: Vec<Organisation>,
 }
 
 impl Catalog {
-    /// Puts a configuration together.
+    /// Builds a configuration and its indices.
     pub fn new(parts: Parts) -> Self {
-        let mut hosts: BTreeMap<String, Vec<usize>> = BTreeMap::new();
-        let mut names = BTreeMap::new();
+        let mut queues_by_host: BTreeMap<String, Vec<usize>> = BTreeMap::new();
+        let mut queues_by_name = BTreeMap::new();
         for (index, queue) in parts.queues.iter().enumerate() {
-            hosts.entry(queue.host.clone()).or_default().push(index);
-            names.insert(queue.name.clone(), index);
+            queues_by_host.entry(queue.host.clone()).or_default().push(index);
+            queues_by_name.insert(queue.name.clone(), index);
         }
-        let mut keys = BTreeMap::new();
+        let mut organisations_by_key = BTreeMap::new();
         for organisation in &parts.organisations {
             for key in &organisation.keys {
-                keys.insert(key.clone(), organisation.name.clone());
+                organisations_by_key.insert(key.clone(), organisation.name.clone());
             }
         }
         let name = |service: Service| (service.name.clone(), service);
@@ -110,36 +110,37 @@
             queues: parts.queues,
             services,
             organisations,
-            hosts,
-            names,
-            keys,
+            queues_by_host,
+            queues_by_name,
+            organisations_by_key,
         }
     }
 
-    /// The queue with the longest prefix of a path, and the rest of the path.
+    /// Finds the queue of a host with the longest prefix that matches a path. Returns it with the
+    /// rest of the path.
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let host = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
-        let queues = self.hosts.get(&host)?.iter().map(|index| &self.queues[*index]);
+        let queues = self.queues_by_host.get(&host)?.iter().map(|index| &self.queues[*index]);
         let matching = queues.filter_map(|queue| Some((queue, path.strip_prefix(&queue.prefix)?)));
         matching.max_by_key(|(queue, _)| queue.prefix.len())
     }
 
-    /// A queue by its name.
+    /// Looks up a queue by name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
-        self.names.get(name).map(|index| &self.queues[*index])
+        self.queues_by_name.get(name).map(|index| &self.queues[*index])
     }
 
-    /// A service by its name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// The organisation that a key belongs to.
+    /// Looks up the organisation that an API key belongs to.
     pub fn owner(&self, key: &str) -> Option<&Organisation> {
-        self.organisations.get(self.keys.get(key)?)
+        self.organisations.get(self.organisations_by_key.get(key)?)
     }
 
-    /// An organisation by its name.
+    /// Looks up an organisation by name.
     pub fn organisation(&self, name: &str) -> Option<&Organisation> {
         self.organisations.get(name)
     }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,4 +1,5 @@
-//! Jobs of steps and tasks, what they take, and the configuration of their queues. No I/O.
+//! The data model of jobs, steps and tasks: their identifiers, the resources that they need, and
+//! the configuration of queues, services and organisations. This crate does no I/O.
 
 pub mod catalog;
 pub mod length;
@@ -11,6 +12,6 @@
     Supply, Tally, Unanswered, UnansweredOn, UnansweredStarts, UnansweredTask, Verdict,
 };
 
-/// Ends that a minion lists at a time. Of a run that is missing from a list with as many, the end
-/// may be among the others.
+/// Maximum number of ended runs that a minion lists at a time. When a list contains this many, a
+/// run that is missing from it may still be among the ended runs that were left out.
 pub const LISTED_ENDS: usize = 500;
--- a/crates/jobs/src/room.rs
+++ b/crates/jobs/src/room.rs
@@ -1,20 +1,20 @@
-//! What tasks take and workers have.
+//! Amounts of processors, memory and accelerators that tasks need and workers have.
 
 use sapphire_schema::jobs;
 
-/// An amount of each resource.
+/// Amounts of all resources that are scheduled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// Thousandths of a processor.
+    /// Processors, in thousandths of a core.
     pub millicores: u64,
     /// Memory in MiB.
     pub memory_mib: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Room {
-    /// Reads a message; absent means nothing.
+    /// Converts from the wire message. An absent message means no resources.
     pub fn read(message: Option<&jobs::Room>) -> Self {
         message.map_or_else(Room::default, |room| Room {
             millicores: room.millicores.into(),
@@ -23,7 +23,7 @@
         })
     }
 
-    /// Writes a message.
+    /// Converts to the wire message. Amounts that exceed its fields are capped.
     pub fn message(self) -> jobs::Room {
         jobs::Room {
             millicores: u32::try_from(self.millicores).unwrap_or(u32::MAX),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The sum.
+    /// Sum of both amounts.
     #[must_use]
     pub fn plus(self, other: Room) -> Room {
         Room {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The difference; nothing where more is taken than there is.
+    /// Difference of both amounts; zero for a resource of which `other` has more.
     #[must_use]
     pub fn minus(self, other: Room) -> Room {
         Room {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The larger amount of each resource.
+    /// Larger of both amounts, for each resource.
     #[must_use]
     pub fn most(self, other: Room) -> Room {
         Room {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// So many times as much.
+    /// The amounts multiplied by `count`.
     #[must_use]
     pub fn times(self, count: u64) -> Room {
         Room {
@@ -72,7 +72,8 @@
         }
     }
 
-    /// How many tasks of a size fit in.
+    /// Number of tasks that need `task` each and fit into these resources together. A resource
+    /// that the task does not need sets no limit.
     pub fn holds(self, task: Room) -> u32 {
         let parts = [
             self.millicores.checked_div(task.millicores),
@@ -83,8 +84,8 @@
         u32::try_from(least).unwrap_or(u32::MAX)
     }
 
-    /// One figure for the whole amount, in processors; an accelerator counts as eight, which is
-    /// how the users price work that was lost.
+    /// All resources as one number of processors. An accelerator counts as eight processors, which
+    /// is how users price lost work; memory does not count.
     pub fn weight(self) -> f64 {
         const CORES_PER_ACCELERATOR: f64 = 8.0;
         self.millicores as f64 / 1_000.0 + self.accelerators as f64 * CORES_PER_ACCELERATOR
--- a/crates/jobs/src/task.rs
+++ b/crates/jobs/src/task.rs
@@ -1,34 +1,34 @@
-//! Names of tasks and of what starts together.
+//! Identifiers of tasks, of their runs, and of groups of tasks that start together.
 
 use sapphire_schema::jobs;
 
-/// Name of a job, chosen by its caller.
+/// Identifier of a job, chosen by its caller.
 pub type JobId = String;
-/// Name of a worker's agent.
+/// Name of a worker, which is that of the agent that runs there.
 pub type WorkerName = String;
-/// Number of a start of a task; members of a gang share it, and it only grows.
+/// Number of one run of a task. All tasks of a gang share it, and each restart has a higher one.
 pub type RunNumber = u32;
 
-/// One task of one occurrence of a job.
+/// Identifier of one task in one occurrence of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Task {
-    /// Its job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Which repetition of the job, from 0.
+    /// Index of the job's repetition, from 0.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// Index of the step in the job, from 0.
     pub step: u32,
-    /// Which task of the step, from 0.
+    /// Index of the task in the step, from 0.
     pub index: u32,
 }
 
 impl Task {
-    /// Reads a message.
+    /// Converts from the wire message, without its run number.
     pub fn read(run: &jobs::Run) -> Self {
         Task { job: run.job.clone(), occurrence: run.occurrence, step: run.step, index: run.index }
     }
 
-    /// One start of it.
+    /// The wire message for the given run of this task.
     pub fn run(&self, run: RunNumber) -> jobs::Run {
         jobs::Run {
             job: self.job.clone(),
@@ -40,19 +40,20 @@
     }
 }
 
-/// What starts together within a job: a whole gang, or one task that is no part of a gang.
+/// Identifier, within a job, of a group of tasks that start together: all tasks of a gang, or one
+/// task that is not part of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupKey {
-    /// Which repetition of the job.
+    /// Index of the job's repetition, from 0.
     pub occurrence: u32,
-    /// Which step.
+    /// Index of the step in the job, from 0.
     pub step: u32,
-    /// Which task; 0 for a gang.
+    /// Index of the task in the step; 0 for a gang.
     pub index: u32,
 }
 
 impl GroupKey {
-    /// The group that a task belongs to.
+    /// Identifier of the group that a task belongs to.
     pub fn of(task: &Task, is_gang: bool) -> Self {
         let index = if is_gang { 0 } else { task.index };
         GroupKey { occurrence: task.occurrence, step: task.step, index }
