--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -1,35 +1,36 @@
-//! Bounds retries to a share of first tries, so that they can't multiply load.
+//! Limits retries to a share of first attempts, so that they can't multiply the load.
 
-/// Retries earned by each first try, in thousandths.
-const EARNED_MILLI: u32 = 100;
-/// Cost of one retry, in thousandths.
-const RETRY_MILLI: u32 = 1_000;
-/// Most that can be saved up, in thousandths: 10 retries.
-const MAX_MILLI: u32 = 10_000;
+/// Credit for each first attempt, in thousandths of a retry: one retry per 10 first attempts.
+const CREDIT_PER_ATTEMPT_MILLI: u32 = 100;
+/// Cost of one retry, in thousandths of a retry.
+const RETRY_COST_MILLI: u32 = 1_000;
+/// Maximum credit, in thousandths of a retry: a burst of 10 retries.
+const MAX_CREDIT_MILLI: u32 = 10_000;
 
-/// Retries that may still be made.
+/// Credit for retries, which starts full.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    milli: u32,
+    /// Current credit, in thousandths of a retry.
+    credit_milli: u32,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { milli: MAX_MILLI }
+        Budget { credit_milli: MAX_CREDIT_MILLI }
     }
 }
 
 impl Budget {
-    /// Notes a first try.
+    /// Adds the credit for one first attempt.
     pub fn earn(&mut self) {
-        self.milli = (self.milli + EARNED_MILLI).min(MAX_MILLI);
+        self.credit_milli = (self.credit_milli + CREDIT_PER_ATTEMPT_MILLI).min(MAX_CREDIT_MILLI);
     }
 
-    /// Takes one retry, if the budget allows it.
+    /// Pays for one retry if the credit is sufficient. Returns whether the retry is allowed.
     pub fn spend(&mut self) -> bool {
-        let is_allowed = self.milli >= RETRY_MILLI;
+        let is_allowed = self.credit_milli >= RETRY_COST_MILLI;
         if is_allowed {
-            self.milli -= RETRY_MILLI;
+            self.credit_milli -= RETRY_COST_MILLI;
         }
         is_allowed
     }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,54 +1,57 @@
-//! Chooses a minion for a request.
+//! Chooses the minion that a request is sent to.
 
 use rand::{Rng, RngExt as _};
 use sapphire_wire::id;
 
-/// A minion that could take the request.
+/// A minion that may serve the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its agent.
+    /// Agent that runs the minion.
     pub agent: id::Process,
-    /// Slots thought to be free.
+    /// Number of slots that are free as far as the entry knows.
     pub free_slots: u32,
-    /// Slots and places to wait for one that are thought to be free.
+    /// Number of slots and queue positions that are free as far as the entry knows.
     pub free_places: u32,
-    /// How far away it is.
+    /// Distance from the entry that received the request.
     pub distance: Distance,
 }
 
-/// Distance from the caller's entry; nearer is less.
+/// Distance of a minion from the entry that received the request, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// The same availability zone.
+    /// Same availability zone.
     Zone,
-    /// The same region.
+    /// Same region, but another availability zone.
     Region,
-    /// Another region: slow, and paid for by volume.
+    /// Another region: slower, and traffic is charged by volume.
     Far,
 }
 
-/// The choice, and what else was possible.
+/// Result of a choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Agent chosen.
+    /// Agent of the chosen minion.
     pub agent: id::Process,
-    /// Its free slots, as thought.
+    /// Number of its free slots as far as the entry knows.
     pub free_slots: u32,
-    /// Agent that came second; empty when there was none.
+    /// Agent of the second choice; empty if there was no other candidate of the same rank.
     pub runner_up: id::Process,
 }
 
-/// Chooses among minions with free places, and of two taken at random among the best the one
-/// with more free places. Best is: a free slot in the region, near first; then a place to wait
-/// in the region, near first; then another region.
+/// Chooses a minion for a request; none if no candidate has a free slot or queue position.
+///
+/// Candidates are ranked: first those in the region with a free slot, then those in the region
+/// with a free queue position, each with the same zone before other zones, and last those in other
+/// regions, again with free slots first. Of two candidates taken at random from the best rank, the
+/// one with more free places is chosen (the power of two choices).
 pub fn choose(candidates: &[Candidate], rng: &mut impl Rng) -> Option<Outcome> {
     let rank = |candidate: &Candidate| {
         let is_far = candidate.distance == Distance::Far;
         (is_far, candidate.free_slots == 0, candidate.distance)
     };
-    let open = || candidates.iter().filter(|candidate| candidate.free_places > 0);
-    let best = open().map(rank).min()?;
-    let best: Vec<&Candidate> = open().filter(|candidate| rank(candidate) == best).collect();
+    let available = || candidates.iter().filter(|candidate| candidate.free_places > 0);
+    let best = available().map(rank).min()?;
+    let best: Vec<&Candidate> = available().filter(|candidate| rank(candidate) == best).collect();
     let first = rng.random_range(0..best.len());
     let mut second = rng.random_range(0..best.len());
     if second == first {
@@ -59,10 +62,10 @@
     } else {
         (best[second], best[first])
     };
-    let has_other = chosen.agent != other.agent;
+    let has_runner_up = chosen.agent != other.agent;
     Some(Outcome {
         agent: chosen.agent.clone(),
         free_slots: chosen.free_slots,
-        runner_up: if has_other { other.agent.clone() } else { String::new() },
+        runner_up: if has_runner_up { other.agent.clone() } else { String::new() },
     })
 }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -1,4 +1,4 @@
-//! Choice of a minion, and the retry budget.
+//! Tests of the choice of a minion and of the retry budget.
 
 use rand::SeedableRng as _;
 use sapphire_route::{
@@ -11,44 +11,45 @@
 }
 
 #[test]
-fn the_nearest_with_a_free_slot_is_chosen() {
+fn the_nearest_minion_with_a_free_slot_is_chosen() {
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
     let far = candidate("far", 8, Distance::Far);
     let full = candidate("full", 0, Distance::Zone);
     let near = candidate("near", 1, Distance::Region);
     for _ in 0..20 {
         let outcome = choose::choose(&[far.clone(), full.clone(), near.clone()], &mut rng);
-        assert_eq!(outcome.expect("two are open").agent, "near");
+        assert_eq!(outcome.expect("two have free places").agent, "near");
     }
     assert_eq!(choose::choose(&[full], &mut rng), None);
 }
 
 #[test]
-fn a_free_slot_in_the_next_zone_goes_before_a_wait_in_this_one() {
+fn a_free_slot_in_another_zone_is_preferred_to_queueing_in_the_same_zone() {
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
     let busy = Candidate { free_places: 8, ..candidate("busy", 0, Distance::Zone) };
     let free = candidate("free", 1, Distance::Region);
     let far = candidate("far", 8, Distance::Far);
     let outcome = choose::choose(&[busy.clone(), free, far.clone()], &mut rng);
-    assert_eq!(outcome.expect("three are open").agent, "free");
+    assert_eq!(outcome.expect("three have free places").agent, "free");
     let outcome = choose::choose(&[busy, far], &mut rng);
-    assert_eq!(outcome.expect("two are open").agent, "busy");
+    assert_eq!(outcome.expect("two have free places").agent, "busy");
 }
 
 #[test]
-fn of_two_the_freer_one_is_chosen() {
+fn of_two_minions_the_one_with_more_free_places_is_chosen() {
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
     let both = [candidate("a", 2, Distance::Zone), candidate("b", 7, Distance::Zone)];
     for _ in 0..20 {
-        let outcome = choose::choose(&both, &mut rng).expect("both are open");
+        let outcome = choose::choose(&both, &mut rng).expect("both have free places");
         assert_eq!((outcome.agent.as_str(), outcome.runner_up.as_str()), ("b", "a"));
     }
 }
 
-/// Every minion refuses. Without a bound each request would be tried at each of them, and ten
-/// callers would become a hundred requests; with it retries stay near a tenth of first tries.
+/// Guards against retries that multiply the load when every minion refuses. Without a budget each
+/// request would be tried at each of ten minions, so that ten callers would cause a hundred
+/// requests. With it, retries stay near a tenth of first attempts.
 #[test]
-fn retries_stay_a_share_of_first_tries() {
+fn retries_stay_within_a_share_of_first_attempts() {
     let mut budget = budget::Budget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
