--- a/crates/plan/src/admit.rs
+++ b/crates/plan/src/admit.rs
@@ -1,71 +1,73 @@
-//! Which jobs are turned away when they are handed in.
+//! Admission control: which jobs are rejected when they are submitted.
 //!
-//! The load this answers: more work than the workers can do for minutes on end, and jobs that no
-//! worker can hold. Taken in, such a job waits until it is of no use to its caller any more, who
-//! learns nothing meanwhile and can't take it elsewhere. So it is turned away at once, with the
-//! time after which it has a chance. A short burst turns nothing away: what waits in it can still
-//! be of use.
+//! Jobs are rejected during an overload of minutes, and when no worker is large enough for them. If
+//! such a job were accepted, it would wait until its result is of no use any more, while its caller
+//! learns nothing and can't submit it elsewhere. So it is rejected at once, with the time after
+//! which a retry may succeed. A short burst causes no rejections, since the jobs that queue up in
+//! it can still complete in time to be of use.
 
 use std::time::Duration;
 
 use sapphire_jobs::room::Room;
 
-/// A job later than this many objectives is of no use to its caller, as in `rank`.
+/// A job that takes longer than this many times its objective is of no use to its caller, as in
+/// `rank`.
 const USEFUL_OBJECTIVES: u32 = 3;
-/// Shortest and longest time after which a caller is told to come again. Backlogs are known to
-/// half a second, and a longer time outlives what is known of the load.
-const SOONEST: Duration = Duration::from_secs(1);
-const LATEST: Duration = Duration::from_secs(60);
-/// When to come again with a job that no worker can hold: a larger one may join, seldom sooner
-/// than a machine takes to start.
-const OTHER_WORKERS: Duration = Duration::from_secs(30);
+/// Shortest time after which a caller is told to retry. Backlogs are known to within half a second.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Longest time after which a caller is told to retry. What is known of the load is out of date
+/// after that.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// Time after which a caller may retry a job that is too large for all workers. A larger worker may
+/// join, but seldom sooner than a machine takes to boot.
+const TOO_LARGE_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// A job that is handed in.
+/// A job that is submitted.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What a task of each step takes.
+    /// Resources that one task of each step needs.
     pub rooms: Vec<Room>,
-    /// 0 is never turned away for want of time: it goes before all others.
+    /// Priority. 0 is never rejected because of the load, since it goes before all others.
     pub priority: u32,
-    /// Time within which its caller wants it, by its declared run times.
+    /// Completion objective, computed from the declared run times.
     pub objective: Duration,
 }
 
-/// What is known of the workers that would run it.
+/// What is known of the workers that would run the job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Supply {
-    /// The most of each resource that one of them has.
+    /// Largest amount of each resource that any one of them has.
     pub largest: Room,
-    /// Time in which they would do all that goes before the job.
+    /// Time that they need for all work that goes before the job.
     pub drain: Duration,
 }
 
-/// What becomes of the job.
+/// Decision on a submitted job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is taken in.
+    /// The job is accepted.
     Accept,
-    /// No worker can hold one of its tasks.
+    /// The job is rejected: one of its tasks is too large for every worker.
     TooLarge {
-        /// When to come again.
+        /// Time after which the caller may retry.
         after: Duration,
     },
-    /// It would be of no use any more when its turn comes.
+    /// The job is rejected: it would complete too late to be of use.
     Full {
-        /// When to come again.
+        /// Time after which the caller may retry.
         after: Duration,
     },
 }
 
-/// Decides about a job; without knowledge of the workers it is taken in.
+/// Decides whether a job is accepted. If nothing is known of the workers, it is.
 pub fn admit(job: &Job, supply: Option<&Supply>) -> Outcome {
     let Some(supply) = supply else { return Outcome::Accept };
     if job.rooms.iter().any(|room| supply.largest.holds(*room) == 0) {
-        return Outcome::TooLarge { after: OTHER_WORKERS };
+        return Outcome::TooLarge { after: TOO_LARGE_RETRY_AFTER };
     }
-    let useful = job.objective * USEFUL_OBJECTIVES;
-    if job.priority == 0 || supply.drain <= useful {
+    let useful_time = job.objective * USEFUL_OBJECTIVES;
+    if job.priority == 0 || supply.drain <= useful_time {
         return Outcome::Accept;
     }
-    Outcome::Full { after: (supply.drain - useful).clamp(SOONEST, LATEST) }
+    Outcome::Full { after: (supply.drain - useful_time).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) }
 }
--- a/crates/plan/src/bind.rs
+++ b/crates/plan/src/bind.rs
@@ -1,4 +1,4 @@
-//! Binds guaranteed shapes to workers, in advance.
+//! Binding of guarantees to workers, ahead of the jobs that use them.
 
 use std::collections::BTreeMap;
 
@@ -10,43 +10,43 @@
     place,
 };
 
-/// What is to be bound.
+/// Input of [`bind`].
 #[derive(Clone, Debug)]
 pub struct Options<'a> {
-    /// Guarantees with their lines in the rule file.
+    /// Guarantees, each with its line number in the rule file.
     pub guarantees: Vec<(usize, &'a rule::Guarantee)>,
-    /// Workers; those not open are not bound to.
+    /// Workers. Guarantees are not bound to those that may not be given work.
     pub fleet: &'a Fleet,
-    /// Bindings in force, kept where possible.
+    /// Bindings in force, which are kept where possible.
     pub previous: &'a [Binding],
 }
 
-/// A guarantee that the workers at hand can't hold.
+/// A guarantee for which there are not enough workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Short {
-    /// Line in the rule file.
+    /// Line number of the guarantee in the rule file.
     pub line: usize,
-    /// Whose it is.
+    /// Organisation that the guarantee belongs to.
     pub organisation: id::Organisation,
-    /// Its shape, in words.
+    /// Description of its shape, for operators.
     pub shape: String,
-    /// Gangs that could not be bound.
+    /// Number of gangs that could not be bound.
     pub missing: u32,
 }
 
-/// Bindings, and what could not be bound.
+/// Result of [`bind`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// One a worker and organisation.
+    /// Bindings, one for each pair of worker and organisation.
     pub bindings: Vec<Binding>,
-    /// Guarantees that are not whole.
+    /// Guarantees that could not be bound completely.
     pub short: Vec<Short>,
 }
 
-/// Binds each guarantee's gangs, the most demanding first, to the workers they had before where
-/// those still fit.
+/// Binds the gangs of all guarantees to workers, the most demanding guarantees first. A gang keeps
+/// the workers of its previous binding where these still fit.
 pub fn bind(options: &Options<'_>) -> Outcome {
-    let mut room = empty(options.fleet);
+    let mut unbound = empty_fleet(options.fleet);
     let mut bound: BTreeMap<(id::Worker, id::Organisation), u32> = BTreeMap::new();
     let mut short = Vec::new();
     let mut guarantees = options.guarantees.clone();
@@ -54,8 +54,8 @@
     for (line, guarantee) in guarantees {
         let mut missing = 0;
         for _ in 0..guarantee.count {
-            match bind_one(&room, guarantee, options.previous, &bound) {
-                Some(seats) => take(&mut room, &mut bound, guarantee, &seats),
+            match bind_one(&unbound, guarantee, options.previous, &bound) {
+                Some(seats) => take(&mut unbound, &mut bound, guarantee, &seats),
                 None => missing += 1,
             }
         }
@@ -73,13 +73,15 @@
     Outcome { bindings: bindings.collect(), short }
 }
 
-/// Sorts the most demanding first: closest adjacency, then largest gang.
+/// Sort key by which the most demanding guarantees come first: those with the closest adjacency,
+/// then those with the largest gang.
 fn demand(guarantee: &rule::Guarantee) -> (std::cmp::Reverse<i32>, std::cmp::Reverse<u32>) {
     let adjacency = guarantee.adjacency as i32;
     (std::cmp::Reverse(adjacency), std::cmp::Reverse(guarantee.accelerators * guarantee.tasks))
 }
 
-fn empty(fleet: &Fleet) -> Fleet {
+/// The workers that may be given work, as if no gang and no guarantee used them.
+fn empty_fleet(fleet: &Fleet) -> Fleet {
     let open = fleet.workers.iter().filter(|(_, worker)| worker.is_open);
     let workers = open.map(|(name, worker)| {
         let worker = Worker { used: Default::default(), ..worker.clone() };
@@ -98,7 +100,7 @@
     }
 }
 
-/// A guarantee's shape in words.
+/// Describes the shape of a guarantee for operators.
 pub fn describe(guarantee: &rule::Guarantee) -> String {
     let adjacency = match guarantee.adjacency {
         Adjacency::Worker => "one worker",
@@ -113,16 +115,18 @@
     format!("{tasks} x {accelerators} accelerators in {adjacency} of {place}")
 }
 
+/// Finds workers for one gang of a guarantee, first among those of its previous binding.
 fn bind_one(
-    room: &Fleet,
+    unbound: &Fleet,
     guarantee: &rule::Guarantee,
     previous: &[Binding],
     bound: &BTreeMap<(id::Worker, id::Organisation), u32>,
 ) -> Option<Vec<place::Seat>> {
     let shape = shape(guarantee);
     let options = place::Options::borrowing(&guarantee.organisation, &shape);
-    let here = within(room, &guarantee.place, |_, _| true);
-    let had = |name: &id::Worker| -> u32 {
+    let here = within(unbound, &guarantee.place, |_, _| true);
+    // Accelerators of the previous binding on a worker that are not bound again yet.
+    let reusable = |name: &id::Worker| -> u32 {
         let own = previous.iter().filter(|binding| {
             binding.worker == *name && binding.organisation == guarantee.organisation
         });
@@ -130,13 +134,16 @@
         let key = (name.clone(), guarantee.organisation.clone());
         before.saturating_sub(bound.get(&key).copied().unwrap_or(0))
     };
-    let kept = within(room, &guarantee.place, |name, _| had(name) >= shape.accelerators);
-    let outcome = place::place(&kept, &options).or_else(|| place::place(&here, &options))?;
+    let previous_workers =
+        within(unbound, &guarantee.place, |name, _| reusable(name) >= shape.accelerators);
+    let outcome =
+        place::place(&previous_workers, &options).or_else(|| place::place(&here, &options))?;
     Some(outcome.seats)
 }
 
+/// The workers at a place of the rule file that meet a condition.
 fn within(
-    room: &Fleet,
+    fleet: &Fleet,
     place: &rule::Place,
     is_wanted: impl Fn(&id::Worker, &Worker) -> bool,
 ) -> Fleet {
@@ -144,20 +151,21 @@
         rule::Place::Region(region) => worker.region == *region,
         rule::Place::Zone(zone) => worker.zone == *zone,
     };
-    let workers = room.workers.iter();
+    let workers = fleet.workers.iter();
     let wanted = workers.filter(|(name, worker)| is_here(worker) && is_wanted(name, worker));
     Fleet { workers: wanted.map(|(name, worker)| (name.clone(), worker.clone())).collect() }
 }
 
+/// Records the binding of one gang, so that the next gang does not get the same resources.
 fn take(
-    room: &mut Fleet,
+    unbound: &mut Fleet,
     bound: &mut BTreeMap<(id::Worker, id::Organisation), u32>,
     guarantee: &rule::Guarantee,
     seats: &[place::Seat],
 ) {
     let shape = shape(guarantee);
     for seat in seats {
-        room.take(&seat.worker, &guarantee.organisation, &shape, seat.tasks, false);
+        unbound.take(&seat.worker, &guarantee.organisation, &shape, seat.tasks, false);
         let key = (seat.worker.clone(), guarantee.organisation.clone());
         *bound.entry(key).or_default() += guarantee.accelerators * seat.tasks;
     }
--- a/crates/plan/src/clear.rs
+++ b/crates/plan/src/clear.rs
@@ -1,8 +1,8 @@
-//! Which work is stopped for an urgent group, and how long the group waits for other work to end
-//! by itself instead.
+//! Preemption: which work is stopped for an urgent group, and how long the group waits for other
+//! work to end by itself instead.
 //!
-//! The load this answers: a burst of urgent jobs while every worker is busy. Each wait within the
-//! group's limit is weighed with the stops that it leaves: work that ends within it costs nothing.
+//! In a burst of urgent jobs all workers are busy. The waits within the group's limit are compared,
+//! each with the stops that it leaves necessary: work that ends within the wait costs nothing.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
     wait,
 };
 
-/// A run expected to end within this is not worth stopping.
+/// A run that is expected to end within this time is not worth stopping.
 const NEARLY_DONE: Duration = Duration::from_millis(500);
 /// Longest wait of an urgent group for work to end by itself.
 pub const LONGEST_WAIT: Duration = Duration::from_millis(2_500);
-/// Waits that are weighed against one another. Closer ones change the choice seldom.
+/// Waits that are compared. A finer graduation seldom changes the choice.
 const WAITS: [Duration; 6] = [
     NEARLY_DONE,
     Duration::from_millis(800),
@@ -25,59 +25,61 @@
     Duration::from_millis(2_000),
     LONGEST_WAIT,
 ];
-/// Time of work that a stop costs beside what it loses: the restart, and what it waits for that.
+/// Run time that a stop costs in addition to the work that it loses: the restart, and the wait for
+/// it.
 const RESTART: Duration = Duration::from_millis(400);
 
 /// A running group that may be stopped.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// 0 is stopped only for work within a guarantee.
+    /// Priority. Work of priority 0 is stopped only for work within a guarantee.
     pub priority: u32,
-    /// It is within its organisation's guarantee.
+    /// Whether it is within its organisation's guarantee.
     pub is_guaranteed: bool,
-    /// It is being stopped already.
+    /// Whether it is being stopped already.
     pub is_stopping: bool,
-    /// How much longer it will run by itself.
+    /// Expected remaining run time if it is not stopped.
     pub remaining: Duration,
-    /// What a stop costs and gives.
+    /// Cost of a stop, and the resources that it releases.
     pub victim: evict::Victim,
 }
 
-/// An urgent group.
+/// An urgent group that waits for resources.
 #[derive(Clone, Copy, Debug)]
 pub struct Urgent<'a> {
-    /// What it needs.
+    /// Requirements of the group.
     pub ask: &'a Ask,
-    /// Where it may go.
+    /// Which workers it may be assigned to.
     pub reach: Reach,
-    /// It is within its organisation's guarantee.
+    /// Whether it is within its organisation's guarantee.
     pub is_guaranteed: bool,
 }
 
-/// What is given up for an urgent group.
+/// Decision for an urgent group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Work that ends by itself within this is waited for.
+    /// Work that is expected to end by itself within this time is waited for.
     pub wait: Duration,
-    /// Candidates that are stopped, by index.
+    /// Indices of the candidates that are stopped.
     pub stops: Vec<usize>,
-    /// Where the group goes.
+    /// Places that the group is assigned to.
     pub seats: Vec<Seat>,
-    /// What the stops cost, in processor seconds.
+    /// Cost of the stops in processor seconds.
     pub cost: f64,
-    /// Time until the room is free.
+    /// Expected time until the group can start.
     pub delay: Duration,
 }
 
-/// What a stop loses of a group's work, in processor seconds: all that it has done unless it saves
-/// its progress, and its restart. `cores` is what the group takes.
-pub fn loss(cores: f64, ran: Duration, saves: bool) -> f64 {
-    let lost = if saves { RESTART } else { ran + RESTART };
-    cores * lost.as_secs_f64()
+/// Cost of stopping a group in processor seconds: the work that it has done, unless it saves
+/// checkpoints, and its restart. `cores` is the weighted number of processors that the group uses.
+pub fn loss(cores: f64, ran: Duration, has_checkpoints: bool) -> f64 {
+    let lost_time = if has_checkpoints { RESTART } else { ran + RESTART };
+    cores * lost_time.as_secs_f64()
 }
 
-/// The wait, no longer than `limit`, that with its stops costs the least. `stop` is the longest
-/// time that a stop takes.
+/// Chooses the wait, of at most `limit`, that costs the least together with its stops. A wait for
+/// nearly completed work is always considered. `stop` is the maximum duration of a stop. Returns none
+/// if the group would not fit even after all stops.
 pub fn weigh(
     places: &[Place],
     candidates: &[Candidate],
@@ -88,18 +90,18 @@
 ) -> Option<Choice> {
     let mut best: Option<(f64, Choice)> = None;
     for wait in WAITS.into_iter().filter(|wait| *wait <= limit || *wait == NEARLY_DONE) {
-        // Whether there is room to be had at all does not depend on the wait.
+        // Whether the group can fit at all does not depend on the wait.
         let choice = choose(places, candidates, urgent, wait, stop)?;
         let cost = wait::cost(job, choice.delay, choice.cost);
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             best = Some((cost, choice));
         }
     }
     best.map(|(_, choice)| choice)
 }
 
-/// The cheapest work that gives room to an urgent group, with what ends within the wait for
-/// nothing.
+/// Chooses the cheapest work to stop for an urgent group, if work that is expected to end within
+/// `wait` costs nothing.
 pub fn choose(
     places: &[Place],
     candidates: &[Candidate],
@@ -114,21 +116,21 @@
     };
     let allowed: Vec<usize> =
         (0..candidates.len()).filter(|at| may_stop(&candidates[*at])).collect();
-    let offer = |at: &usize| {
+    let release = |at: &usize| {
         let candidate = &candidates[*at];
-        let is_free = candidate.remaining <= wait;
-        candidate.victim.at_cost(if is_free { 0.0 } else { candidate.victim.cost })
+        let ends_in_time = candidate.remaining <= wait;
+        candidate.victim.at_cost(if ends_in_time { 0.0 } else { candidate.victim.cost })
     };
-    let offers: Vec<evict::Offer<'_>> = allowed.iter().map(offer).collect();
-    let outcome = evict::choose(places, &offers, urgent.ask, urgent.reach)?;
+    let releases: Vec<evict::Release<'_>> = allowed.iter().map(release).collect();
+    let outcome = evict::choose(places, &releases, urgent.ask, urgent.reach)?;
     let chosen: Vec<usize> = outcome.victims.iter().map(|at| allowed[*at]).collect();
     let ends_by_itself = |candidate: &Candidate| candidate.remaining <= wait;
-    let end = |at: &usize| {
+    let time_until_end = |at: &usize| {
         let candidate = &candidates[*at];
         let is_waited_for = ends_by_itself(candidate) && !candidate.is_stopping;
         if is_waited_for { candidate.remaining } else { stop }
     };
-    let delay = chosen.iter().map(end).max().unwrap_or_default();
+    let delay = chosen.iter().map(time_until_end).max().unwrap_or_default();
     let is_stopped = |at: &usize| {
         let candidate = &candidates[*at];
         !candidate.is_stopping && !ends_by_itself(candidate)
--- a/crates/plan/src/evict.rs
+++ b/crates/plan/src/evict.rs
@@ -1,8 +1,8 @@
-//! Chooses which groups to stop so that a more urgent one can start.
+//! Search for the cheapest set of groups to stop so that a more urgent group can start.
 //!
-//! The load this answers: urgent jobs, due within seconds, that come in a burst while every
-//! worker is busy with work that lasts longer. What a stop loses differs by far (a task that
-//! saves its progress loses next to nothing), so the cheapest set is sought, not the first.
+//! A burst of urgent jobs that are due within seconds may arrive while all workers are busy with
+//! longer work. The cost of a stop differs widely (a task that saves checkpoints loses next to
+//! nothing), so the cheapest set is searched for rather than the first one that is sufficient.
 
 use std::rc::Rc;
 
@@ -10,91 +10,98 @@
 
 use crate::seat::{self, Ask, Place, Reach, Seat};
 
-/// A group that may be stopped.
+/// A running group that may be stopped.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// What its stop loses, in processor seconds.
+    /// Cost of the stop in processor seconds.
     pub cost: f64,
-    /// What it gives back, by index of the place.
+    /// Resources that its end releases, each with the index of the place.
     pub seats: Vec<(usize, Room)>,
 }
 
 impl Victim {
-    /// The victim as one search sees it, at a cost of its own.
-    pub fn at_cost(&self, cost: f64) -> Offer<'_> {
-        Offer { cost, seats: &self.seats }
+    /// The release of this group's resources in one search, at the given cost.
+    pub fn at_cost(&self, cost: f64) -> Release<'_> {
+        Release { cost, seats: &self.seats }
     }
 }
 
-/// A group that may be stopped, as one search sees it.
+/// Resources that the end of one group would release, at a cost that may differ between searches.
 #[derive(Clone, Copy, Debug)]
-pub struct Offer<'a> {
-    /// What its stop loses, in processor seconds.
+pub struct Release<'a> {
+    /// Cost of the release, such as processor seconds that a stop loses.
     pub cost: f64,
-    /// What it gives back, by index of the place.
+    /// Released resources, each with the index of the place.
     pub seats: &'a [(usize, Room)],
 }
 
-/// What to stop, and where the urgent group goes once that has ended.
+/// Result of a search: what to stop, and where the urgent group goes once that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// Indices of the offers.
+    /// Indices of the releases that are needed.
     pub victims: Vec<usize>,
-    /// Seats of the urgent group.
+    /// Places that the urgent group is assigned to.
     pub seats: Vec<Seat>,
-    /// What the stops lose together, in processor seconds.
+    /// Total cost of the releases.
     pub cost: f64,
 }
 
-/// The cheapest set that was found, with no victim that isn't needed.
-pub fn choose(places: &[Place], offers: &[Offer<'_>], ask: &Ask, reach: Reach) -> Option<Outcome> {
-    let mut order: Vec<usize> = (0..offers.len()).collect();
-    order.sort_by(|left, right| offers[*left].cost.total_cmp(&offers[*right].cost));
+/// Searches for the cheapest set of releases with which a group fits. The set contains none that is
+/// not needed, but a cheaper one may exist. Returns none if the group would not fit with all of them.
+pub fn choose(
+    places: &[Place],
+    releases: &[Release<'_>],
+    ask: &Ask,
+    reach: Reach,
+) -> Option<Outcome> {
+    let mut order: Vec<usize> = (0..releases.len()).collect();
+    order.sort_by(|left, right| releases[*left].cost.total_cmp(&releases[*right].cost));
     let everywhere = || {
         let all: Vec<usize> = (0..places.len()).collect();
-        Search::new(places, &all, offers, order.clone()).run(ask, reach)
+        Search::new(places, &all, releases, order.clone()).run(ask, reach)
     };
     if !ask.wants_one_rack {
         return everywhere();
     }
-    let racks = Racks::new(places, offers, &order);
-    let in_one = racks.all.into_iter().filter_map(|rack| {
-        Search::new(places, &rack.places, offers, rack.order).run(ask, Reach::Near)
+    let racks = Racks::new(places, releases, &order);
+    let in_one_rack = racks.all.into_iter().filter_map(|rack| {
+        Search::new(places, &rack.places, releases, rack.order).run(ask, Reach::Near)
     });
-    let best = in_one.min_by(|left, right| left.cost.total_cmp(&right.cost));
+    let best = in_one_rack.min_by(|left, right| left.cost.total_cmp(&right.cost));
     best.or_else(|| (reach == Reach::Far).then(everywhere).flatten())
 }
 
-/// One rack, with what may be stopped there.
+/// One rack, with the releases that affect it.
 #[derive(Default)]
 struct Rack {
-    /// Indices of its places.
+    /// Indices of the places in the rack.
     places: Vec<usize>,
-    /// Indices of the offers that give room there, the cheapest first.
+    /// Indices of the releases that free resources there, the cheapest first.
     order: Vec<usize>,
 }
 
+/// All racks.
 struct Racks {
     all: Vec<Rack>,
 }
 
 impl Racks {
-    fn new(places: &[Place], offers: &[Offer<'_>], order: &[usize]) -> Self {
+    fn new(places: &[Place], releases: &[Release<'_>], order: &[usize]) -> Self {
         let mut names: Vec<&Rc<str>> = places.iter().map(|place| &place.rack).collect();
         names.sort_unstable();
         names.dedup();
         let number = |place: &Place| names.binary_search(&&place.rack).unwrap_or_default();
-        let of_place: Vec<usize> = places.iter().map(number).collect();
+        let rack_of_place: Vec<usize> = places.iter().map(number).collect();
         let mut all: Vec<Rack> = Vec::new();
         all.resize_with(names.len(), Rack::default);
-        for (place, rack) in of_place.iter().enumerate() {
+        for (place, rack) in rack_of_place.iter().enumerate() {
             all[*rack].places.push(place);
         }
-        for offer in order {
-            for (place, _) in offers[*offer].seats {
-                let of_rack = &mut all[of_place[*place]].order;
-                if of_rack.last() != Some(offer) {
-                    of_rack.push(*offer);
+        for release in order {
+            for (place, _) in releases[*release].seats {
+                let rack_order = &mut all[rack_of_place[*place]].order;
+                if rack_order.last() != Some(release) {
+                    rack_order.push(*release);
                 }
             }
         }
@@ -104,16 +111,16 @@
 
 /// A search among some of the places.
 struct Search<'a> {
-    /// The places, with what is free there at the moment of the search.
+    /// The places, with the resources that are free in the current step of the search.
     places: Vec<Place>,
-    /// What is free in each as long as nothing is stopped.
+    /// Free resources of each place before any release.
     base: Vec<Room>,
-    /// Index of each among all places.
+    /// Index of each place among all places.
     origin: &'a [usize],
-    /// Position among `places` by index among all; none for places that are left out.
+    /// Position in `places` by index among all places; none for places that are left out.
     position: Vec<Option<u32>>,
-    offers: &'a [Offer<'a>],
-    /// Indices of the offers, the cheapest first.
+    releases: &'a [Release<'a>],
+    /// Indices of the releases, the cheapest first.
     order: Vec<usize>,
 }
 
@@ -121,7 +128,7 @@
     fn new(
         places: &[Place],
         origin: &'a [usize],
-        offers: &'a [Offer<'a>],
+        releases: &'a [Release<'a>],
         order: Vec<usize>,
     ) -> Self {
         let mut position = vec![None; places.len()];
@@ -130,53 +137,57 @@
         }
         let places: Vec<Place> = origin.iter().map(|index| places[*index].clone()).collect();
         let base = places.iter().map(|place| place.free).collect();
-        Search { places, base, origin, position, offers, order }
+        Search { places, base, origin, position, releases, order }
     }
 
+    /// Finds the shortest sufficient prefix of the releases in the order of their cost, then drops
+    /// those that are not needed, the most expensive first.
     fn run(mut self, ask: &Ask, reach: Reach) -> Option<Outcome> {
         let order = std::mem::take(&mut self.order);
-        // More victims never seat less, so the fewest that do are found by halving.
-        let mut seats = self.seat_without(&order, ask, reach)?;
-        let (mut least, mut enough) = (0, order.len());
-        while least < enough {
-            let middle = least.midpoint(enough);
-            match self.seat_without(&order[..middle], ask, reach) {
-                Some(found) => (enough, seats) = (middle, found),
-                None => least = middle + 1,
+        // More releases never make fewer tasks fit, so the smallest sufficient prefix is found by
+        // bisection.
+        let mut seats = self.assign_after(&order, ask, reach)?;
+        let (mut lower, mut upper) = (0, order.len());
+        while lower < upper {
+            let middle = lower.midpoint(upper);
+            match self.assign_after(&order[..middle], ask, reach) {
+                Some(found) => (upper, seats) = (middle, found),
+                None => lower = middle + 1,
             }
         }
-        let mut is_touched = vec![false; self.places.len()];
+        let mut is_assigned = vec![false; self.places.len()];
         for seat in &seats {
-            is_touched[seat.place] = true;
+            is_assigned[seat.place] = true;
         }
-        let is_at = |(at, _): &(usize, Room)| {
-            self.position[*at].is_some_and(|position| is_touched[position as usize])
+        let is_used = |(at, _): &(usize, Room)| {
+            self.position[*at].is_some_and(|position| is_assigned[position as usize])
         };
-        let gives_room = |index: &usize| self.offers[*index].seats.iter().any(is_at);
-        let mut chosen: Vec<usize> = order[..enough].iter().copied().filter(gives_room).collect();
+        let is_useful = |index: &usize| self.releases[*index].seats.iter().any(is_used);
+        let mut chosen: Vec<usize> = order[..upper].iter().copied().filter(is_useful).collect();
         for at in (0..chosen.len()).rev() {
-            let spared = chosen.remove(at);
-            match self.seat_without(&chosen, ask, reach) {
+            let candidate = chosen.remove(at);
+            match self.assign_after(&chosen, ask, reach) {
                 Some(found) => seats = found,
-                None => chosen.insert(at, spared),
+                None => chosen.insert(at, candidate),
             }
         }
-        let cost = chosen.iter().map(|index| self.offers[*index].cost).sum();
-        let of_all = |seat: Seat| Seat { place: self.origin[seat.place], ..seat };
-        let seats = seats.into_iter().map(of_all).collect();
+        let cost = chosen.iter().map(|index| self.releases[*index].cost).sum();
+        let to_origin = |seat: Seat| Seat { place: self.origin[seat.place], ..seat };
+        let seats = seats.into_iter().map(to_origin).collect();
         Some(Outcome { victims: chosen, seats, cost })
     }
 
-    /// Seats the group once some victims have ended, in what others don't wait for there.
+    /// Assigns the group to places after some releases. Resources that are promised to other groups
+    /// are left out.
     ///
-    /// Guards against room that is promised twice: in a burst, two urgent groups would wait for
-    /// the end of the same work, and the second would start its wait anew when the first has got it.
-    fn seat_without(&mut self, stopped: &[usize], ask: &Ask, reach: Reach) -> Option<Vec<Seat>> {
+    /// Guards against promising resources twice: in a burst, two urgent groups would wait for the
+    /// end of the same work, and the second would have to wait again after the first has started.
+    fn assign_after(&mut self, included: &[usize], ask: &Ask, reach: Reach) -> Option<Vec<Seat>> {
         for (place, free) in self.places.iter_mut().zip(&self.base) {
             place.free = *free;
         }
-        for index in stopped {
-            for (at, room) in self.offers[*index].seats {
+        for index in included {
+            for (at, room) in self.releases[*index].seats {
                 if let Some(position) = self.position[*at] {
                     let place = &mut self.places[position as usize];
                     place.free = place.free.plus(*room);
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -1,74 +1,83 @@
-//! Workers of one cell as its planner sees them.
+//! The planner's view of the workers of one cell: their capacity, use and bound guarantees.
 
 use std::collections::BTreeMap;
 
 use sapphire_wire::{Shape, id, resource};
 
-/// One worker.
+/// A worker and how its accelerators are used.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Worker {
-    /// Region it stands in.
+    /// Region that the worker is in.
     pub region: String,
-    /// Availability zone it stands in.
+    /// Availability zone that the worker is in.
     pub zone: String,
-    /// Rack it stands in.
+    /// Rack that the worker is in.
     pub rack: String,
-    /// All it has.
+    /// Total resources.
     pub capacity: resource::Amount,
-    /// It may be given work: heard of lately, and not draining.
+    /// Whether it may be given work: it has been in contact recently and is not draining.
     pub is_open: bool,
-    /// Accelerators bound to organisations' guarantees.
+    /// Number of accelerators bound to each organisation's guarantee.
     pub bound: BTreeMap<id::Organisation, u32>,
-    /// What gangs take, by organisation, that run on their guarantee.
+    /// Number of accelerators used by gangs that run on their organisation's guarantee.
     pub guaranteed: BTreeMap<id::Organisation, u32>,
-    /// What all gangs take.
+    /// Resources used by all gangs.
     pub used: resource::Amount,
 }
 
 impl Worker {
-    /// What no gang takes.
+    /// Resources that no gang uses.
     pub fn free(&self) -> resource::Amount {
         self.capacity.minus(&self.used)
     }
 
-    /// Accelerators of an organisation's guarantee that its own gangs don't use.
+    /// Number of accelerators bound to an organisation's guarantee that its gangs don't use. Other
+    /// organisations may be borrowing them.
     pub fn unused_guarantee(&self, organisation: &str) -> u32 {
         let bound = self.bound.get(organisation).copied().unwrap_or(0);
         bound.saturating_sub(self.guaranteed.get(organisation).copied().unwrap_or(0))
     }
 
-    /// Free accelerators that no guarantee may claim back.
+    /// Number of free accelerators that no guarantee may reclaim.
     pub fn unbound_free(&self) -> u32 {
-        let claims = self.bound.keys().map(|organisation| self.unused_guarantee(organisation));
-        self.free().accelerators.saturating_sub(claims.sum())
+        let reclaimable = self.bound.keys().map(|organisation| self.unused_guarantee(organisation));
+        self.free().accelerators.saturating_sub(reclaimable.sum())
     }
 }
 
-/// Workers of one cell, by name.
+/// All workers of one cell.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
-    /// All workers, open or not.
+    /// Workers by name, including those that may not be given work.
     pub workers: BTreeMap<id::Worker, Worker>,
 }
 
 impl Fleet {
-    /// Takes room for some tasks of a gang.
-    pub fn take(&mut self, worker: &str, organisation: &str, shape: &Shape, tasks: u32, own: bool) {
+    /// Marks the resources of some tasks of a gang as used. `own` is set for a gang that runs on its
+    /// organisation's guarantee.
+    pub fn take(
+        &mut self,
+        worker: &str,
+        organisation: &str,
+        shape: &Shape,
+        tasks: u32,
+        is_guaranteed: bool,
+    ) {
         let Some(worker) = self.workers.get_mut(worker) else { return };
         let amount = resource::Amount::of_tasks(shape, tasks);
         worker.used = worker.used.plus(&amount);
-        if own {
+        if is_guaranteed {
             *worker.guaranteed.entry(organisation.to_owned()).or_default() += amount.accelerators;
         }
     }
 
-    /// Gives back room of some tasks of a gang, as if it had ended.
+    /// Marks the resources of some tasks of a gang as free, as if they had ended.
     pub fn give(&mut self, worker: &str, shape: &Shape, tasks: u32) {
         let Some(worker) = self.workers.get_mut(worker) else { return };
         worker.used = worker.used.minus(&resource::Amount::of_tasks(shape, tasks));
     }
 
-    /// Whether a gang could run if nothing else did.
+    /// Whether a gang would fit if all workers were empty, not draining and free of guarantees.
     pub fn could_hold(&self, shape: &Shape) -> bool {
         let mut empty = self.clone();
         for worker in empty.workers.values_mut() {
--- a/crates/plan/src/health.rs
+++ b/crates/plan/src/health.rs
@@ -1,4 +1,4 @@
-//! Tells workers that fail every task from jobs that fail everywhere.
+//! Quarantine of workers on which every task fails, as opposed to jobs that fail on every worker.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -7,89 +7,97 @@
 
 use sapphire_wire::id;
 
-/// Different jobs that must fail in a row on a worker.
+/// Number of different jobs that must fail on a worker, without a success between them, before it
+/// is quarantined.
 const STREAK: usize = 3;
-/// Latest outcomes of other workers that are looked at.
-const WINDOW: usize = 50;
-/// Share of failures among those, in per cent, above which jobs are to blame.
-const BAD_JOBS: usize = 50;
-/// First time for which a worker is set aside; doubles each time.
-const ASIDE: Duration = Duration::from_secs(60);
-/// Longest time for which a worker is set aside.
-const MAX_ASIDE: Duration = Duration::from_secs(3_600);
+/// Number of latest outcomes, over all workers, from which the failure rate of the other workers
+/// is computed.
+const OUTCOME_WINDOW: usize = 50;
+/// Failure rate of the other workers, in per cent, above which jobs rather than workers are taken
+/// to be the cause of failures.
+const FAULTY_JOBS_PERCENT: usize = 50;
+/// Duration of a worker's first quarantine. It doubles with each further one.
+const FIRST_QUARANTINE: Duration = Duration::from_secs(60);
+/// Maximum duration of a quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(3_600);
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// Jobs that failed here since the last success.
+    /// Jobs that failed on this worker since its last success or quarantine.
     failed: BTreeSet<id::Job>,
-    aside_until: Option<Duration>,
-    /// Times it was set aside since its last success.
-    times: u32,
+    /// End of the current quarantine.
+    quarantined_until: Option<Duration>,
+    /// Number of quarantines since its last success.
+    quarantines: u32,
 }
 
-/// Outcomes by worker.
+/// Outcomes of recent tasks, and the workers that are quarantined because of them.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     workers: BTreeMap<id::Worker, Record>,
-    latest: VecDeque<(id::Worker, bool)>,
+    latest_outcomes: VecDeque<(id::Worker, bool)>,
 }
 
 impl Health {
-    /// Notes a job that was done on these workers. A worker on probation is well again.
+    /// Records that a job succeeded on the given workers. This ends their probation.
     pub fn succeeded<'a>(&mut self, workers: impl Iterator<Item = &'a id::Worker>) {
         for worker in workers {
             self.workers.remove(worker);
-            self.note(worker, true);
+            self.record_outcome(worker, true);
         }
     }
 
-    /// Notes a job whose task failed on a worker. Returns for how long the worker is set aside,
-    /// if it is from now.
+    /// Records that a task of a job failed on a worker. Returns the duration of the quarantine if
+    /// this failure starts one.
     ///
-    /// Three different jobs in a row must fail there while fewer than half do elsewhere: a wave
-    /// of bad jobs fails everywhere and sets no worker aside. A worker on probation that fails
-    /// again is set aside at once, for twice as long.
+    /// A quarantine starts when three different jobs have failed on the worker without a success
+    /// between them while at most half of the outcomes on other workers are failures: a wave of
+    /// faulty jobs fails everywhere and quarantines no worker. A worker that fails again during
+    /// its probation is quarantined at once, for twice as long.
     pub fn failed(&mut self, now: Duration, worker: &str, job: &str) -> Option<Duration> {
-        self.note(worker, false);
-        let are_jobs_bad = self.are_jobs_bad(worker);
+        self.record_outcome(worker, false);
+        let are_jobs_faulty = self.are_jobs_faulty(worker);
         let record = self.workers.entry(worker.to_owned()).or_default();
         record.failed.insert(job.to_owned());
-        let is_on_probation = record.times > 0;
+        let is_on_probation = record.quarantines > 0;
         let is_streak = record.failed.len() >= STREAK || is_on_probation;
-        if !is_streak || are_jobs_bad {
+        if !is_streak || are_jobs_faulty {
             return None;
         }
-        let time = ASIDE.saturating_mul(2_u32.saturating_pow(record.times.min(8))).min(MAX_ASIDE);
-        record.times += 1;
+        let duration = FIRST_QUARANTINE
+            .saturating_mul(2_u32.saturating_pow(record.quarantines.min(8)))
+            .min(MAX_QUARANTINE);
+        record.quarantines += 1;
         record.failed.clear();
-        record.aside_until = Some(now + time);
-        Some(time)
+        record.quarantined_until = Some(now + duration);
+        Some(duration)
     }
 
-    fn note(&mut self, worker: &str, is_success: bool) {
-        self.latest.push_back((worker.to_owned(), is_success));
-        if self.latest.len() > WINDOW {
-            self.latest.pop_front();
+    fn record_outcome(&mut self, worker: &str, is_success: bool) {
+        self.latest_outcomes.push_back((worker.to_owned(), is_success));
+        if self.latest_outcomes.len() > OUTCOME_WINDOW {
+            self.latest_outcomes.pop_front();
         }
     }
 
-    fn are_jobs_bad(&self, worker: &str) -> bool {
-        let others = || self.latest.iter().filter(|(other, _)| other != worker);
+    fn are_jobs_faulty(&self, worker: &str) -> bool {
+        let others = || self.latest_outcomes.iter().filter(|(other, _)| other != worker);
         let failures = others().filter(|(_, is_success)| !is_success).count();
-        failures * 100 > others().count() * BAD_JOBS
+        failures * 100 > others().count() * FAULTY_JOBS_PERCENT
     }
 
-    /// Workers that are set aside now.
+    /// Workers that are in quarantine at the given time.
     pub fn aside(&self, now: Duration) -> impl Iterator<Item = &id::Worker> {
-        let is_aside = move |record: &Record| record.aside_until.is_some_and(|until| now < until);
-        self.workers.iter().filter(move |(_, record)| is_aside(record)).map(|(name, _)| name)
+        let is_quarantined =
+            move |record: &Record| record.quarantined_until.is_some_and(|until| now < until);
+        self.workers.iter().filter(move |(_, record)| is_quarantined(record)).map(|(name, _)| name)
     }
 
-    /// Puts workers whose time aside has passed on probation; returns whether there were any.
+    /// Moves workers whose quarantine has ended to probation. Returns whether there were any.
     pub fn release(&mut self, now: Duration) -> bool {
         let mut is_any = false;
         for record in self.workers.values_mut() {
-            is_any |= record.aside_until.take_if(|until| now >= *until).is_some();
+            is_any |= record.quarantined_until.take_if(|until| now >= *until).is_some();
         }
         is_any
     }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,4 +1,6 @@
-//! Decisions about jobs as pure functions over plain state.
+//! Scheduling decisions about jobs: admission, order, placement, reservation, preemption and the
+//! detection of failing or slow workers. This crate does no I/O: all decisions are pure functions
+//! over plain state.
 
 pub mod admit;
 pub mod bind;
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -1,158 +1,168 @@
-//! Whether a run is as fast as it should be, told by comparison with others.
+//! Detection of slow and stalled runs, by comparison with other runs.
 //!
-//! The load this answers: declared run times that are off by a factor of ten either way, and a few
-//! workers that turn several times slower for some seconds. Against declared times, long jobs look
-//! like slow workers: sound work is stopped and thrown away, and sound workers are avoided. A long
-//! task is long on every worker, so a run counts as slow only beside the same task elsewhere, its
-//! siblings elsewhere, others of its kind, or its own earlier pace.
+//! Declared run times may be off by a factor of ten in either direction, and a worker may become
+//! several times slower for some seconds. If runs were compared with declared times, long jobs would
+//! look like slow workers: work that runs well would be stopped and lost, and healthy workers would
+//! be avoided. A long task takes long on every worker, so a run counts as slow only in comparison
+//! with the same task elsewhere, tasks of the same step elsewhere, other jobs of the same kind, or
+//! its own earlier pace.
 
 use std::time::Duration;
 
 use crate::estimate::Estimate;
 
-/// Deviations from what a comparison lets expect from which a run is slow.
+/// Number of standard deviations above the expected run time from which a run is slow.
 const SLOW_DEVIATIONS: f64 = 3.0;
-/// Deviations up to which it is as fast as it should be.
-const SOUND_DEVIATIONS: f64 = 1.0;
-/// Widest comparison that can show a run, and with it its worker, to be sound.
-const TELLING_SPREAD: f64 = 0.5;
-/// Least ratio of times that counts as slow, however narrow the comparison is.
-const SLOW_RATIO: f64 = 2.0;
-/// Spread of the times of one task on sound workers, as the standard deviation of logarithms.
+/// Number of standard deviations above the expected run time up to which a run is at the expected
+/// speed.
+const NORMAL_DEVIATIONS: f64 = 1.0;
+/// Largest spread of an estimate that can show that a run is at the expected speed, and its worker
+/// healthy.
+const MAX_DECISIVE_SPREAD: f64 = 0.5;
+/// Minimum ratio of the run time to the expected one that counts as slow, however small the spread
+/// is.
+const MIN_SLOW_RATIO: f64 = 2.0;
+/// Spread of the run times of one task on healthy workers, as the standard deviation of logarithms.
 pub const SAME_TASK: f64 = 0.2;
-/// A slow run goes elsewhere when what is left of it takes so many times longer than there.
-const WORTH_MOVING: f64 = 2.0;
-/// What a move costs beside the run: the stop, the new start and their messages.
-const MOVE: Duration = Duration::from_millis(700);
+/// A slow run is moved if what is left of it takes this many times as long as on another worker.
+const MIN_MOVE_RATIO: f64 = 2.0;
+/// Time that a move takes in addition to the run: the stop, the new start and their messages.
+const MOVE_TIME: Duration = Duration::from_millis(700);
 
-/// What a comparison says of a run.
+/// Result of comparing a run with others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is as fast as it should be.
+    /// The run is at the expected speed.
     Sound,
-    /// It is slow.
+    /// The run is slow.
     Slow,
-    /// It can't be told.
+    /// The comparison does not decide.
     Unknown,
 }
 
-/// Compares the time that a whole run takes at its present pace with what others let expect.
+/// Compares the total time that a run takes at its present pace with estimates from other runs.
 ///
-/// The narrowest comparison decides: the same task elsewhere says more than its siblings, and
-/// these more than other jobs of its kind.
-pub fn compare(whole: Duration, others: &[Estimate]) -> Verdict {
-    let Some(other) = narrowest(others) else { return Verdict::Unknown };
-    let ratio = whole.as_secs_f64() / other.centre.as_secs_f64().max(f64::MIN_POSITIVE);
-    let deviations = ratio.ln() / other.spread.max(SAME_TASK);
-    if ratio >= SLOW_RATIO && deviations >= SLOW_DEVIATIONS {
+/// The estimate with the smallest spread decides: the same task elsewhere is a better indication
+/// than tasks of the same step, and these are better than other jobs of the same kind.
+pub fn compare(total_time: Duration, estimates: &[Estimate]) -> Verdict {
+    let Some(estimate) = narrowest(estimates) else { return Verdict::Unknown };
+    let ratio = total_time.as_secs_f64() / estimate.centre.as_secs_f64().max(f64::MIN_POSITIVE);
+    let deviations = ratio.ln() / estimate.spread.max(SAME_TASK);
+    if ratio >= MIN_SLOW_RATIO && deviations >= SLOW_DEVIATIONS {
         Verdict::Slow
-    } else if deviations <= SOUND_DEVIATIONS && other.spread <= TELLING_SPREAD {
+    } else if deviations <= NORMAL_DEVIATIONS && estimate.spread <= MAX_DECISIVE_SPREAD {
         Verdict::Sound
     } else {
         Verdict::Unknown
     }
 }
 
-/// What a run's own best pace so far and the comparison with others say together, with what was
-/// expected of it. That its pace is steady doesn't show that it is sound: it may have been slow
-/// from its start.
-pub fn judge(whole: Duration, own: Option<Estimate>, others: &[Estimate]) -> (Verdict, Estimate) {
+/// Compares a run with its own best pace so far and with other runs. Returns the verdict and the
+/// estimate that it is based on. A steady pace does not show that a run is at the expected speed,
+/// since it may have been slow from its start.
+pub fn judge(
+    total_time: Duration,
+    own: Option<Estimate>,
+    estimates: &[Estimate],
+) -> (Verdict, Estimate) {
     if let Some(own) = own
-        && compare(whole, &[own]) == Verdict::Slow
+        && compare(total_time, &[own]) == Verdict::Slow
     {
         return (Verdict::Slow, own);
     }
-    (compare(whole, others), narrowest(others).unwrap_or_default())
+    (compare(total_time, estimates), narrowest(estimates).unwrap_or_default())
 }
 
-/// The comparison that says most.
-pub fn narrowest(others: &[Estimate]) -> Option<Estimate> {
-    others.iter().copied().min_by(|left, right| left.spread.total_cmp(&right.spread))
+/// The estimate with the smallest spread.
+pub fn narrowest(estimates: &[Estimate]) -> Option<Estimate> {
+    estimates.iter().copied().min_by(|left, right| left.spread.total_cmp(&right.spread))
 }
 
-/// Whether what is left of a slow run takes so much longer than elsewhere that it should go there.
-pub fn is_worth_moving(left_here: Duration, elsewhere: Duration) -> bool {
-    left_here > (elsewhere + MOVE).mul_f64(WORTH_MOVING)
+/// Whether what is left of a slow run takes so much longer than on another worker that the run
+/// should be moved there.
+pub fn is_worth_moving(remaining_here: Duration, elsewhere: Duration) -> bool {
+    remaining_here > (elsewhere + MOVE_TIME).mul_f64(MIN_MOVE_RATIO)
 }
 
-/// Least time without progress that counts as standing still. Above the interval of the reports
-/// and the start-up of a task.
-const STILL: Duration = Duration::from_millis(1_100);
-/// Share of its expected time without progress that counts as standing still, while its own pace
-/// has not shown how often its progress is told.
-const STILL_SHARE: f64 = 0.25;
-/// Per cent of progress that a run at its best pace makes in a time that counts as standing still.
-const STILL_PERCENT: f64 = 10.0;
-
-/// Time without progress from which a run stands still, given its best pace so far and the time
-/// that it is expected to take.
+/// Minimum time without progress after which a run counts as stalled. It exceeds the interval of
+/// progress reports and the start-up time of a task.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1_100);
+/// Time without progress after which a run counts as stalled, as a share of its expected run time.
+/// Used until its own pace shows how often it reports progress.
+const STALL_SHARE: f64 = 0.25;
+/// Time without progress after which a run counts as stalled, as the per cent of progress that it
+/// would make in this time at its best pace.
+const STALL_PERCENT: f64 = 10.0;
+
+/// Time without progress after which a run counts as stalled, given its total run time at the best
+/// pace so far and its expected run time.
 pub fn still_after(best: Option<Duration>, expected: Duration) -> Duration {
-    let own = best.map(|whole| whole.mul_f64(STILL_PERCENT / 100.0));
-    STILL.max(own.unwrap_or_else(|| expected.mul_f64(STILL_SHARE)))
+    let own = best.map(|total_time| total_time.mul_f64(STALL_PERCENT / 100.0));
+    MIN_STALL_TIMEOUT.max(own.unwrap_or_else(|| expected.mul_f64(STALL_SHARE)))
 }
 
-/// Whether a run that stands still should start again elsewhere: once it has stood still for as
-/// long as the work takes that would be done again.
+/// Whether a stalled run should be restarted elsewhere: once it has been stalled for as long as the
+/// work takes that would have to be repeated.
 ///
-/// The load this answers: tasks that stand still for some seconds, nobody knows for how many, and
-/// then go on. To stop at once throws away all that a long run has done; to wait for good leaves
-/// its caller without an answer. Waiting as long as the restart costs is never worse than twice
-/// the better of both.
-pub fn is_worth_restarting(still: Duration, unsaved: Duration) -> bool {
-    still >= unsaved
+/// Some tasks stall for an unknown number of seconds and then go on. Stopping at once throws away all
+/// that a long run has done, and waiting for ever leaves its caller without a result. Waiting for as
+/// long as the restart costs is never worse than twice the better of both.
+pub fn is_worth_restarting(stalled_for: Duration, work_to_repeat: Duration) -> bool {
+    stalled_for >= work_to_repeat
 }
 
-/// Progress from which the pace of a stretch of a run is told, in per cent.
-const TELLING_PERCENT: u32 = 5;
-/// Least length of such a stretch.
-const TELLING_TIME: Duration = Duration::from_millis(800);
+/// Minimum progress, in per cent, of a section of a run from which its pace is computed.
+const MIN_SECTION_PERCENT: u32 = 5;
+/// Minimum duration of such a section.
+const MIN_SECTION_TIME: Duration = Duration::from_millis(800);
 
-/// The pace of one run over time, from its progress in per cent.
+/// The pace of one run over time, computed from its progress in per cent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Track {
-    /// Start of the stretch under way.
+    /// Start of the current section.
     since: Duration,
+    /// Progress at the start of the current section.
     percent: u32,
-    /// Time of a whole run at the best pace of any stretch so far.
+    /// Total run time at the best pace of any section so far.
     best: Option<Duration>,
 }
 
 impl Track {
-    /// A run that is first seen with so much progress.
+    /// Starts tracking a run that has made the given progress.
     pub fn new(now: Duration, percent: u32) -> Self {
         Track { since: now, percent, best: None }
     }
 
-    /// Notes its progress, after so long without any. A time in which it stood still says nothing
-    /// of its pace before or after.
+    /// Records progress, which came after `gap` without any. A section in which the run was stalled
+    /// is discarded, since it says nothing of the pace before or after.
     pub fn note(&mut self, now: Duration, percent: u32, gap: Duration) {
         if self.best.is_some() && gap >= still_after(self.best, Duration::ZERO) {
             self.since = now;
             self.percent = percent;
             return;
         }
-        let gained = percent.saturating_sub(self.percent);
+        let progress = percent.saturating_sub(self.percent);
         let time = now.saturating_sub(self.since);
-        if gained < TELLING_PERCENT || time < TELLING_TIME {
+        if progress < MIN_SECTION_PERCENT || time < MIN_SECTION_TIME {
             return;
         }
-        let whole = time.mul_f64(100.0 / f64::from(gained));
-        self.best = Some(self.best.map_or(whole, |best| best.min(whole)));
+        let total_time = time.mul_f64(100.0 / f64::from(progress));
+        self.best = Some(self.best.map_or(total_time, |best| best.min(total_time)));
         self.since = now;
         self.percent = percent;
     }
 
-    /// Time of a whole run at the best pace so far.
+    /// Total run time at the best pace so far.
     pub fn best(&self) -> Option<Duration> {
         self.best
     }
 
-    /// Least time of a whole run at the present pace, once the stretch is long enough to tell.
+    /// Shortest possible total run time at the present pace, once the current section is long enough.
     ///
-    /// Progress is told in whole per cent, so up to one more may have been made.
+    /// Progress is reported in whole per cent, so up to one more per cent may have been made.
     pub fn present(&self, now: Duration, percent: u32) -> Option<Duration> {
         let time = now.saturating_sub(self.since);
-        let gained = percent.saturating_sub(self.percent) + 1;
-        (time >= TELLING_TIME).then(|| time.mul_f64(100.0 / f64::from(gained)))
+        let progress = percent.saturating_sub(self.percent) + 1;
+        (time >= MIN_SECTION_TIME).then(|| time.mul_f64(100.0 / f64::from(progress)))
     }
 }
--- a/crates/plan/src/pass.rs
+++ b/crates/plan/src/pass.rs
@@ -1,4 +1,5 @@
-//! One pass over the waiting jobs: which start now, where, and why the others wait.
+//! One scheduling pass over the waiting jobs: which of them start now and where, and why the others
+//! wait.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,47 +16,47 @@
     queue,
 };
 
-/// Waiting time after which a job's area counts half.
-const AGEING: f64 = 1_800.0;
-/// Jobs for which room is kept, at most.
-const RESERVATIONS: usize = 2;
+/// Waiting time in seconds after which a job's score is a quarter of its initial value.
+const AGEING_SECONDS: f64 = 1_800.0;
+/// Maximum number of waiting jobs that resources are reserved for.
+const MAX_RESERVATIONS: usize = 2;
 
-/// A job that waits.
+/// A waiting job.
 #[derive(Clone, Debug)]
 pub struct Waiting<'a> {
-    /// The job.
+    /// Job that waits.
     pub job: &'a Job,
-    /// How long it has waited.
+    /// Time that it has waited.
     pub waited: Duration,
-    /// How long it is expected to run.
+    /// Expected run time.
     pub expected: Duration,
 }
 
-/// A gang that runs or is about to.
+/// A gang that is running or about to start.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// Its organisation.
+    /// Organisation that the gang belongs to.
     pub organisation: id::Organisation,
-    /// Its shape.
+    /// Shape of the gang.
     pub shape: Shape,
-    /// Where it is.
+    /// Workers that it runs on.
     pub seats: Vec<Seat>,
-    /// It runs on its organisation's guarantee.
+    /// Whether it runs on its organisation's guarantee.
     pub is_guaranteed: bool,
-    /// How much longer it is expected to run.
+    /// Expected remaining run time.
     pub remaining: Duration,
 }
 
-/// Mechanisms that can be switched off, to measure what each is worth.
+/// Mechanisms of a pass. Each can be switched off to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Order by expected run time, size and age; without it, by arrival.
+    /// Order by expected run time, size and age; if off, order by arrival.
     pub has_order: bool,
-    /// Room kept for large gangs that wait.
+    /// Reservation of resources for large gangs that wait.
     pub has_reservation: bool,
-    /// Placement that spares room for the largest guaranteed shape.
+    /// Protection of blocks, which are free resources for the largest guaranteed shape.
     pub has_sparing: bool,
-    /// Guarantees, with reclaim.
+    /// Guarantees, and the reclaim of what others borrow of them.
     pub has_guarantees: bool,
 }
 
@@ -70,54 +71,55 @@
     }
 }
 
-/// What a pass looks at.
+/// Input of a pass.
 pub struct Options<'a> {
-    /// Rules in force.
+    /// Rule file in force.
     pub rules: &'a file::File,
-    /// Workers, with what is bound and taken.
+    /// Workers, with their use and bindings.
     pub fleet: Fleet,
-    /// Jobs that may start.
+    /// Waiting jobs.
     pub waiting: Vec<Waiting<'a>>,
-    /// Gangs that run.
+    /// Running gangs.
     pub running: &'a [Running],
-    /// Workers to leave out.
+    /// Workers that must not be used.
     pub avoid: &'a [id::Worker],
-    /// Mechanisms in use.
+    /// Mechanisms that are in use.
     pub mechanisms: Mechanisms,
 }
 
 /// A gang that is to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
-    /// Its job.
+    /// Identifier of its job.
     pub job: id::Job,
-    /// Where.
+    /// Workers that it starts on.
     pub place: place::Outcome,
-    /// On its organisation's guarantee.
+    /// Whether it starts on its organisation's guarantee.
     pub is_guaranteed: bool,
 }
 
-/// What a pass decided.
+/// Result of a pass.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Gangs to start, in order.
     pub starts: Vec<Start>,
-    /// Why the others wait.
+    /// Reason for waiting of each other job.
     pub why: BTreeMap<id::Job, String>,
 }
 
-/// What the balance of completion time against fragmentation comes to.
+/// Parameters that follow from the balance between completion time and fragmentation in the rule
+/// file.
 ///
-/// Its slopes lie between two members' balances; docs/DESIGN.md says why.
+/// Their slopes lie between the balances of two members; docs/DESIGN.md gives the reasons.
 struct Preference {
-    /// Exponent of the expected run time: 1 is shortest first.
+    /// Exponent of the expected run time in the score; 1 means shortest first.
     time: f64,
-    /// Exponent of the size; below zero large gangs go first.
+    /// Exponent of the size in the score; if it is negative, large gangs go first.
     size: f64,
-    /// Large blocks that smaller jobs leave whole.
-    blocks: u32,
-    /// How long a smaller job waits for other room.
-    patience: Duration,
+    /// Number of blocks that smaller jobs must leave intact.
+    protected_blocks: u32,
+    /// Time that a smaller job waits for other resources rather than break one of these blocks.
+    max_wait: Duration,
 }
 
 impl Preference {
@@ -127,15 +129,16 @@
         Preference {
             time: 1.0 - 0.6 * fragmentation,
             size: 1.0 - 4.0 * fragmentation,
-            blocks: (3.0 * fragmentation).round() as u32,
-            patience: Duration::from_secs(5_400).mul_f64(fragmentation),
+            protected_blocks: (3.0 * fragmentation).round() as u32,
+            max_wait: Duration::from_secs(5_400).mul_f64(fragmentation),
         }
     }
 }
 
-/// Room kept for a gang that waits.
+/// Workers that are reserved for a waiting gang.
 struct Reservation {
     workers: BTreeSet<id::Worker>,
+    /// Expected time until the gang can start.
     within: Duration,
 }
 
@@ -143,8 +146,9 @@
 struct Pass<'a> {
     options: Options<'a>,
     preference: Preference,
-    /// Largest guaranteed shape.
-    largest: Option<Shape>,
+    /// Largest guaranteed shape, whose blocks are protected.
+    block_shape: Option<Shape>,
+    /// Number of borrowed accelerators by organisation.
     borrowed: BTreeMap<id::Organisation, u32>,
     reservations: Vec<Reservation>,
     outcome: Outcome,
@@ -152,9 +156,9 @@
 
 /// Decides which waiting jobs start now.
 ///
-/// In order, each gang starts on its organisation's guarantee, reclaiming what others borrow of it,
-/// or on what is free. For the first of those that don't fit
-/// room is kept: others may use it only when they are expected to be gone in time.
+/// In the order of the jobs, each gang starts on its organisation's guarantee, which reclaims what
+/// others borrow of it, or on free accelerators. Workers are reserved for the first gangs that don't
+/// fit: other jobs may use these workers only if they are expected to have ended in time.
 pub fn pass(options: Options<'_>) -> Outcome {
     let mut borrowed = BTreeMap::new();
     for running in options.running.iter().filter(|running| !running.is_guaranteed) {
@@ -162,10 +166,11 @@
         *borrowed.entry(running.organisation.clone()).or_default() += accelerators;
     }
     let outcome = Outcome::default();
-    let largest = largest(options.rules).filter(|_| options.mechanisms.has_sparing);
+    let block_shape =
+        largest_guaranteed_shape(options.rules).filter(|_| options.mechanisms.has_sparing);
     let preference = Preference::new(&options.rules.balance());
     let mut pass =
-        Pass { options, preference, largest, borrowed, reservations: Vec::new(), outcome };
+        Pass { options, preference, block_shape, borrowed, reservations: Vec::new(), outcome };
     for waiting in pass.order() {
         let is_small = pass.is_small(waiting.job);
         let is_started = (!is_small && pass.start_guaranteed(&waiting))
@@ -179,13 +184,13 @@
 }
 
 /// The guaranteed shape with the most accelerators.
-fn largest(rules: &file::File) -> Option<Shape> {
+fn largest_guaranteed_shape(rules: &file::File) -> Option<Shape> {
     let shapes = rules.guarantees().map(|(_, guarantee)| bind::shape(guarantee));
     shapes.max_by_key(|shape| (shape.accelerators * shape.tasks, shape.tasks))
 }
 
 impl<'a> Pass<'a> {
-    /// Urgent jobs first, then by score.
+    /// Sorts the waiting jobs: urgent ones first, then by score, by arrival and by identifier.
     fn order(&mut self) -> Vec<Waiting<'a>> {
         let mut waiting = std::mem::take(&mut self.options.waiting);
         let mut keyed: Vec<(f64, Waiting<'a>)> =
@@ -199,8 +204,9 @@
         keyed.into_iter().map(|(_, waiting)| waiting).collect()
     }
 
-    /// Lower goes first: expected run time and size, each as far as the balance rule wants it,
-    /// more for an organisation that borrows much for its weight, less with priority and age.
+    /// Score of a waiting job; lower scores go first. It grows with the expected run time and with
+    /// the size, each as far as the balance rule sets, and with what the organisation borrows in
+    /// relation to its weight. It falls with the organisation's priority and the waiting time.
     fn score(&self, waiting: &Waiting<'_>) -> f64 {
         if !self.options.mechanisms.has_order {
             return 0.0;
@@ -213,11 +219,12 @@
         let time = waiting.expected.as_secs_f64().powf(self.preference.time);
         let size = f64::from(queue::accelerators(job)).powf(self.preference.size);
         let share = (1.0 + f64::from(borrows)) / f64::from(weight);
-        let age = 1.0 + waiting.waited.as_secs_f64() / AGEING;
+        let age = 1.0 + waiting.waited.as_secs_f64() / AGEING_SECONDS;
         time * size * share.sqrt() / (age * age * (1.0 + f64::from(priority)))
     }
 
-    /// Starts a gang on its organisation's guarantee, reclaiming what others borrow of it.
+    /// Starts a gang on its organisation's guarantee, which reclaims what others borrow of it.
+    /// Returns whether it fits.
     fn start_guaranteed(&mut self, waiting: &Waiting<'_>) -> bool {
         if !self.options.mechanisms.has_guarantees {
             return false;
@@ -225,14 +232,15 @@
         let job = waiting.job;
         let shape = job.shape.unwrap_or_default();
         let avoid = self.options.avoid;
-        let spare = self.largest;
+        let block_shape = self.block_shape;
         let guaranteed = place::Options::guaranteed(&job.organisation, &shape);
-        let options = place::Options { avoid, spare: spare.as_ref(), ..guaranteed };
+        let options = place::Options { avoid, spare: block_shape.as_ref(), ..guaranteed };
         let Some(place) = place::place(&self.options.fleet, &options) else { return false };
         self.start(job, place, true);
         true
     }
 
+    /// Records the start of a gang and marks its resources as used.
     fn start(&mut self, job: &Job, place: place::Outcome, is_guaranteed: bool) {
         let shape = job.shape.unwrap_or_default();
         for seat in &place.seats {
@@ -246,8 +254,8 @@
         self.outcome.starts.push(Start { job: job.id.clone(), place, is_guaranteed });
     }
 
-    /// Whether a job is smaller than its organisation's largest guarantee. It borrows where it
-    /// can, so that the room of the guaranteed shape stays whole.
+    /// Whether a job is smaller than its organisation's largest guarantee. Such a job borrows if it
+    /// can, so that the workers of the guaranteed shape stay available as a whole.
     fn is_small(&self, job: &Job) -> bool {
         let own =
             self.options.rules.guarantees().filter(|(_, g)| g.organisation == job.organisation);
@@ -255,6 +263,7 @@
         largest.is_some_and(|largest| queue::accelerators(job) < largest)
     }
 
+    /// Reason why a job may not borrow, if its organisation would exceed its quota.
     fn borrows_beyond_quota(&self, job: &Job) -> Option<String> {
         let in_use = self.borrowed.get(&job.organisation).copied().unwrap_or(0);
         let quota = self.options.rules.quota(&job.organisation)?;
@@ -262,9 +271,9 @@
         is_beyond.then(|| format!("its organisation borrows {in_use} of {quota} accelerators"))
     }
 
-    /// Starts a job on what is free. One that has a guarantee to fall back on leaves what is
-    /// bound to others alone.
-    fn start_borrower(&mut self, waiting: &Waiting<'_>, has_fallback: bool) -> bool {
+    /// Starts a job on free accelerators, and returns whether it does. A job that can fall back on a
+    /// guarantee doesn't use accelerators that are bound to guarantees.
+    fn start_borrower(&mut self, waiting: &Waiting<'_>, has_guarantee: bool) -> bool {
         let job = waiting.job;
         if self.borrows_beyond_quota(job).is_some() {
             return false;
@@ -276,37 +285,42 @@
                 avoid.extend(reservation.workers.iter().cloned());
             }
         }
-        let spare = self.largest;
+        let block_shape = self.block_shape;
         let borrowing = place::Options::borrowing(&job.organisation, &shape);
-        let options = place::Options { avoid: &avoid, spare: spare.as_ref(), ..borrowing };
+        let options = place::Options { avoid: &avoid, spare: block_shape.as_ref(), ..borrowing };
         let Some(place) = place::place(&self.options.fleet, &options) else { return false };
-        if self.must_spare(waiting, &place) {
+        if self.must_protect_block(waiting, &place) {
             return false;
         }
-        if has_fallback && self.takes_bound(&place, &shape) {
+        if has_guarantee && self.uses_bound(&place, &shape) {
             return false;
         }
         self.start(job, place, false);
         true
     }
 
-    /// Whether a smaller job would break one of the last large blocks. It waits a while for
-    /// other room, so that the next large gang finds one whole.
-    fn must_spare(&self, waiting: &Waiting<'_>, place: &place::Outcome) -> bool {
-        let Some(largest) = self.largest else { return false };
-        let is_smaller = queue::accelerators(waiting.job) < largest.accelerators * largest.tasks;
-        let is_patient = waiting.waited < self.preference.patience;
-        is_smaller && is_patient && place.broken > 0 && place.whole < self.preference.blocks
+    /// Whether a smaller job must wait rather than break one of the last blocks. It waits for other
+    /// resources for a limited time, so that the next large gang finds an intact block.
+    fn must_protect_block(&self, waiting: &Waiting<'_>, place: &place::Outcome) -> bool {
+        let Some(block_shape) = self.block_shape else { return false };
+        let is_smaller =
+            queue::accelerators(waiting.job) < block_shape.accelerators * block_shape.tasks;
+        let may_wait = waiting.waited < self.preference.max_wait;
+        is_smaller
+            && may_wait
+            && place.broken > 0
+            && place.intact < self.preference.protected_blocks
     }
 
-    fn takes_bound(&self, place: &place::Outcome, shape: &Shape) -> bool {
+    /// Whether a placement uses accelerators that are bound to guarantees.
+    fn uses_bound(&self, place: &place::Outcome, shape: &Shape) -> bool {
         place.seats.iter().any(|seat| {
             let worker = self.options.fleet.workers.get(&seat.worker);
             worker.is_some_and(|w| w.unbound_free() < shape.accelerators * seat.tasks)
         })
     }
 
-    /// Notes why a job waits, and keeps room for it if it is among the first.
+    /// Records why a job waits, and reserves workers for it if it is among the first.
     fn wait(&mut self, waiting: &Waiting<'_>) {
         let job = waiting.job;
         let mut why = self
@@ -314,7 +328,7 @@
             .unwrap_or_else(|| "no group of workers has room for the whole gang".to_owned());
         let may_reserve = self.options.mechanisms.has_reservation
             && queue::accelerators(job) > 1
-            && self.reservations.len() < RESERVATIONS
+            && self.reservations.len() < MAX_RESERVATIONS
             && self.borrows_beyond_quota(job).is_none();
         let shape = job.shape.unwrap_or_default();
         if may_reserve && let Some(reservation) = self.reserve(job, &shape) {
@@ -324,7 +338,7 @@
         self.outcome.why.insert(job.id.clone(), why);
     }
 
-    /// Finds the room that is expected to be free first, as running gangs end one by one.
+    /// Finds the workers on which a job is expected to fit first, as running gangs end one by one.
     fn reserve(&self, job: &Job, shape: &Shape) -> Option<Reservation> {
         let mut fleet = self.options.fleet.clone();
         let mut ends: Vec<&Running> = self.options.running.iter().collect();
--- a/crates/plan/src/place.rs
+++ b/crates/plan/src/place.rs
@@ -1,4 +1,7 @@
-//! Chooses workers for a whole gang.
+//! Placement of a complete gang on workers, within the adjacency that its shape asks for.
+//!
+//! A block is the free accelerators of one rack that could hold one gang of a given large shape.
+//! Placement avoids breaking blocks, so that the next large gang finds one.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +9,28 @@
 
 use crate::fleet::{Fleet, Worker};
 
-/// What is to be placed.
+/// Input of [`place`].
 #[derive(Clone, Debug)]
 pub struct Options<'a> {
-    /// Whose gang it is.
+    /// Organisation that the gang belongs to.
     pub organisation: &'a str,
-    /// The gang.
+    /// Shape of the gang.
     pub shape: &'a Shape,
-    /// Use the organisation's guarantee, reclaiming what others borrow of it.
+    /// Whether the gang uses its organisation's guarantee, which reclaims what others borrow of it.
     pub is_guaranteed: bool,
-    /// Workers to leave out.
+    /// Workers that must not be used.
     pub avoid: &'a [id::Worker],
-    /// Shape whose room is to be spared: the largest that is guaranteed.
+    /// Shape of the blocks to protect: the largest guaranteed shape.
     pub spare: Option<&'a Shape>,
 }
 
 impl<'a> Options<'a> {
-    /// A gang that takes only what is free.
+    /// Options for a gang that uses only free accelerators.
     pub fn borrowing(organisation: &'a str, shape: &'a Shape) -> Self {
         Options { organisation, shape, is_guaranteed: false, avoid: &[], spare: None }
     }
 
-    /// A gang that runs on its organisation's guarantee.
+    /// Options for a gang that runs on its organisation's guarantee.
     pub fn guaranteed(organisation: &'a str, shape: &'a Shape) -> Self {
         Options { organisation, shape, is_guaranteed: true, avoid: &[], spare: None }
     }
@@ -36,82 +39,86 @@
 /// Tasks of the gang on one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seat {
-    /// The worker.
+    /// Name of the worker.
     pub worker: id::Worker,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
-/// Where a gang goes, and what else was possible.
+/// Result of a placement, with figures for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// One seat a worker; together the whole gang.
+    /// One entry for each worker; together they hold the complete gang.
     pub seats: Vec<Seat>,
-    /// Group chosen: worker, rack or zone.
+    /// Name of the chosen group of workers: a worker, rack or zone.
     pub group: String,
-    /// Second-best group, for the log; empty when there was none.
+    /// Name of the second-best group; empty if there was none.
     pub runner_up: String,
-    /// Large blocks that it breaks.
+    /// Number of blocks that the placement breaks.
     pub broken: u32,
-    /// Large blocks that are left whole.
-    pub whole: u32,
+    /// Number of blocks that stay intact.
+    pub intact: u32,
 }
 
-/// A worker that can take some of the gang.
-struct Room<'a> {
+/// A worker that can hold some tasks of the gang.
+struct Candidate<'a> {
     name: &'a id::Worker,
     worker: &'a Worker,
     tasks: u32,
 }
 
-/// Places the whole gang, or nothing.
+/// Places the complete gang, or nothing.
 ///
-/// The group (worker, rack or zone, by adjacency) with the best fit wins: least use of what is
-/// bound to others, then fewest large blocks broken, then least room left over.
+/// The adjacency decides which workers form a group: a worker, rack or zone. The group with the best
+/// fit is chosen: fewest blocks broken, then least use of accelerators that are bound to guarantees,
+/// then fewest idle workers used in part, fewest racks, and fewest accelerators left free.
 pub fn place(fleet: &Fleet, options: &Options<'_>) -> Option<Outcome> {
     let blocks = options.spare.map(|spare| Blocks::new(fleet, spare));
-    let mut rooms: Vec<Room<'_>> = fleet
+    let mut candidates: Vec<Candidate<'_>> = fleet
         .workers
         .iter()
-        .map(|(name, worker)| Room { name, worker, tasks: tasks_that_fit(name, worker, options) })
-        .filter(|room| room.tasks > 0)
+        .map(|(name, worker)| Candidate {
+            name,
+            worker,
+            tasks: tasks_that_fit(name, worker, options),
+        })
+        .filter(|candidate| candidate.tasks > 0)
         .collect();
     let adjacency = options.shape.adjacency();
-    rooms.sort_by(|left, right| left.group(adjacency).cmp(&right.group(adjacency)));
-    let groups = rooms.chunk_by(|left, right| left.group(adjacency) == right.group(adjacency));
-    let ranked = groups.filter_map(|rooms| {
-        let (score, seats) = fill(rooms, options, blocks.as_ref())?;
-        Some((score, rooms[0].group(adjacency), seats))
+    candidates.sort_by(|left, right| left.group(adjacency).cmp(&right.group(adjacency)));
+    let groups = candidates.chunk_by(|left, right| left.group(adjacency) == right.group(adjacency));
+    let ranked = groups.filter_map(|candidates| {
+        let (score, seats) = fill_group(candidates, options, blocks.as_ref())?;
+        Some((score, candidates[0].group(adjacency), seats))
     });
-    let mut best: Option<(Score, Group<'_>, Taken<'_, '_>)> = None;
+    let mut best: Option<(Score, Group<'_>, Selection<'_, '_>)> = None;
     let mut second: Option<(Score, Group<'_>)> = None;
-    for candidate in ranked {
-        let is_best =
-            best.as_ref().is_none_or(|best| (&candidate.0, candidate.1) < (&best.0, best.1));
-        if is_best {
-            second = best.replace(candidate).map(|(score, group, _)| (score, group));
-        } else if second.as_ref().is_none_or(|other| candidate.0 < other.0) {
-            second = Some((candidate.0, candidate.1));
+    for scored in ranked {
+        let is_better = best.as_ref().is_none_or(|best| (&scored.0, scored.1) < (&best.0, best.1));
+        if is_better {
+            second = best.replace(scored).map(|(score, group, _)| (score, group));
+        } else if second.as_ref().is_none_or(|other| scored.0 < other.0) {
+            second = Some((scored.0, scored.1));
         }
     }
-    let (score, group, taken) = best?;
-    let whole = blocks.map_or(0, |blocks| blocks.count().saturating_sub(score.broken));
+    let (score, group, selected) = best?;
+    let intact = blocks.map_or(0, |blocks| blocks.count().saturating_sub(score.broken));
     Some(Outcome {
-        seats: seats(&taken),
+        seats: seats(&selected),
         group: group_name(group),
         runner_up: second.map(|(_, group)| group_name(group)).unwrap_or_default(),
         broken: score.broken,
-        whole,
+        intact,
     })
 }
 
-/// Rooms taken, with how many tasks each.
-type Taken<'r, 'a> = Vec<(&'r Room<'a>, u32)>;
+/// Workers selected, each with the number of tasks.
+type Selection<'r, 'a> = Vec<(&'r Candidate<'a>, u32)>;
 
-/// Zone, rack and worker; the parts that don't count are empty.
+/// Zone, rack and worker that identify a group. The parts that the adjacency ignores are empty.
 type Group<'a> = (&'a str, &'a str, &'a str);
 
-impl<'a> Room<'a> {
+impl<'a> Candidate<'a> {
     fn group(&self, adjacency: Adjacency) -> Group<'a> {
         let (zone, rack) = (self.worker.zone.as_str(), self.worker.rack.as_str());
         match adjacency {
@@ -130,20 +137,24 @@
     }
 }
 
-fn seats(taken: &[(&Room<'_>, u32)]) -> Vec<Seat> {
-    let seat = |(room, tasks): &(&Room<'_>, u32)| Seat { worker: room.name.clone(), tasks: *tasks };
-    let mut seats: Vec<Seat> = taken.iter().map(seat).collect();
+fn seats(selected: &[(&Candidate<'_>, u32)]) -> Vec<Seat> {
+    let seat = |(candidate, tasks): &(&Candidate<'_>, u32)| Seat {
+        worker: candidate.name.clone(),
+        tasks: *tasks,
+    };
+    let mut seats: Vec<Seat> = selected.iter().map(seat).collect();
     seats.sort_by(|left, right| left.worker.cmp(&right.worker));
     seats
 }
 
+/// Number of tasks of the gang that a worker can hold.
 fn tasks_that_fit(name: &id::Worker, worker: &Worker, options: &Options<'_>) -> u32 {
     let shape = options.shape;
     if !worker.is_open || shape.accelerators == 0 || options.avoid.contains(name) {
         return 0;
     }
     if options.is_guaranteed {
-        let share = share_of_tasks(worker, shape);
+        let share = limit_by_share(worker, shape);
         return (worker.unused_guarantee(options.organisation) / shape.accelerators).min(share);
     }
     let free = worker.free();
@@ -157,9 +168,10 @@
     tasks
 }
 
-/// No limit when one task needs no more processors and memory than its accelerators' share of
-/// the worker; otherwise none, since the agent would refuse it.
-fn share_of_tasks(worker: &Worker, shape: &Shape) -> u32 {
+/// Number of guaranteed tasks that a worker may hold by processors and memory: unlimited if one task
+/// needs no more of them than the share of its accelerators in the worker, and otherwise zero, since
+/// the agent would refuse the task.
+fn limit_by_share(worker: &Worker, shape: &Shape) -> u32 {
     let task = resource::Amount::of_tasks(shape, 1);
     let all = u64::from(worker.capacity.accelerators);
     let own = u64::from(task.accelerators);
@@ -170,10 +182,10 @@
     if processors && memory { u32::MAX } else { 0 }
 }
 
-/// How many gangs of a shape each rack could hold.
+/// The free blocks of each rack.
 struct Blocks<'a> {
     spare: &'a Shape,
-    /// Tasks of the shape that fit into each rack, by zone and rack.
+    /// Number of tasks of the shape that fit into each rack, by zone and rack.
     tasks: BTreeMap<(&'a str, &'a str), u32>,
 }
 
@@ -187,12 +199,12 @@
         Blocks { spare, tasks }
     }
 
-    /// Gangs of the shape for which there is room.
+    /// Number of free blocks in all racks.
     fn count(&self) -> u32 {
         self.tasks.values().map(|tasks| tasks / self.spare.tasks.max(1)).sum()
     }
 
-    /// Gangs of the shape for which there would be no room any more, racks by racks.
+    /// Number of blocks that are broken if the given numbers of accelerators are taken on workers.
     fn broken(&self, seats: &[(&Worker, u32)]) -> u32 {
         let mut lost: BTreeMap<(&str, &str), u32> = BTreeMap::new();
         for (worker, accelerators) in seats {
@@ -211,86 +223,93 @@
     }
 }
 
-/// Tasks of a shape that fit into what is free, once some accelerators are taken.
+/// Number of tasks of a shape that fit into a worker's free accelerators once some more are taken.
 fn tasks_free(worker: &Worker, taken: u32, shape: &Shape) -> u32 {
     worker.free().accelerators.saturating_sub(taken) / shape.accelerators.max(1)
 }
 
-/// Lower is better.
+/// Quality of a placement; lower is better. The fields are compared in their order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Score {
-    /// Large blocks broken.
+    /// Number of blocks broken.
     broken: u32,
-    /// Accelerators used that are bound to a guarantee.
+    /// Number of accelerators used that are bound to a guarantee.
     bound: u32,
-    /// Whole free workers broken.
+    /// Number of idle workers that are used only in part.
     opened: u32,
-    /// Racks touched.
+    /// Number of racks used.
     racks: usize,
-    /// Accelerators left free on the workers touched.
-    left: u32,
+    /// Number of accelerators that stay free on the workers used.
+    left_free: u32,
 }
 
-/// Seats the gang in one group, on few racks and few workers.
-fn fill<'r, 'a>(
-    rooms: &'r [Room<'a>],
+/// Places the gang in one group of workers, on few racks and few workers.
+fn fill_group<'r, 'a>(
+    candidates: &'r [Candidate<'a>],
     options: &Options<'_>,
     blocks: Option<&Blocks<'_>>,
-) -> Option<(Score, Taken<'r, 'a>)> {
-    let total: u64 = rooms.iter().map(|room| u64::from(room.tasks)).sum();
+) -> Option<(Score, Selection<'r, 'a>)> {
+    let total: u64 = candidates.iter().map(|candidate| u64::from(candidate.tasks)).sum();
     if options.shape.tasks == 0 || total < u64::from(options.shape.tasks) {
         return None;
     }
-    let taken = choose(rooms, options.shape.tasks);
-    let mut score = Score { broken: 0, bound: 0, opened: 0, racks: 0, left: 0 };
-    let mut used = Vec::with_capacity(taken.len());
-    for (room, tasks) in &taken {
-        let (worker, accelerators) = (room.worker, options.shape.accelerators * tasks);
+    let selected = select_workers(candidates, options.shape.tasks);
+    let mut score = Score { broken: 0, bound: 0, opened: 0, racks: 0, left_free: 0 };
+    let mut used = Vec::with_capacity(selected.len());
+    for (candidate, tasks) in &selected {
+        let (worker, accelerators) = (candidate.worker, options.shape.accelerators * tasks);
         if !options.is_guaranteed {
             score.bound += accelerators.saturating_sub(worker.unbound_free());
         }
-        let is_whole = worker.used.accelerators == 0;
-        score.opened += u32::from(is_whole && accelerators < worker.capacity.accelerators);
-        score.left += worker.free().accelerators.saturating_sub(accelerators);
+        let is_idle = worker.used.accelerators == 0;
+        score.opened += u32::from(is_idle && accelerators < worker.capacity.accelerators);
+        score.left_free += worker.free().accelerators.saturating_sub(accelerators);
         used.push((worker, accelerators));
     }
-    let racks = taken.chunk_by(|left, right| left.0.worker.rack == right.0.worker.rack);
+    let racks = selected.chunk_by(|left, right| left.0.worker.rack == right.0.worker.rack);
     score.racks = racks.count();
     score.broken = blocks.map_or(0, |blocks| blocks.broken(&used));
-    Some((score, taken))
+    Some((score, selected))
 }
 
-/// Takes whole racks, the largest first, until one more rack or worker holds what is missing;
-/// of those that do, the tightest.
-fn choose<'r, 'a>(rooms: &'r [Room<'a>], tasks: u32) -> Taken<'r, 'a> {
-    let mut by_rack: Vec<&Room<'_>> = rooms.iter().collect();
+/// Selects workers for a number of tasks, rack by rack. Takes the rack with the least room that
+/// holds all tasks that are left, or the one with the most room if none does.
+fn select_workers<'r, 'a>(candidates: &'r [Candidate<'a>], tasks: u32) -> Selection<'r, 'a> {
+    let mut by_rack: Vec<&Candidate<'_>> = candidates.iter().collect();
     by_rack.sort_by(|left, right| left.worker.rack.cmp(&right.worker.rack));
     let racks = by_rack.chunk_by(|left, right| left.worker.rack == right.worker.rack);
-    let sum = |rack: &[&Room<'_>]| -> u32 { rack.iter().map(|room| room.tasks).sum() };
-    let mut racks: Vec<(u32, &[&'r Room<'a>])> = racks.map(|rack| (sum(rack), rack)).collect();
+    let sum =
+        |rack: &[&Candidate<'_>]| -> u32 { rack.iter().map(|candidate| candidate.tasks).sum() };
+    let mut racks: Vec<(u32, &[&'r Candidate<'a>])> = racks.map(|rack| (sum(rack), rack)).collect();
     racks.sort_by_key(|(sum, _)| *sum);
     let mut missing = tasks;
-    let mut taken = Vec::new();
+    let mut selected = Vec::new();
     while missing > 0 {
         let fitting = racks.partition_point(|(sum, _)| *sum < missing);
         let index = if fitting < racks.len() { fitting } else { racks.len() - 1 };
         let (_, rack) = racks.remove(index);
-        missing -= choose_in_rack(rack, missing, &mut taken);
+        missing -= select_in_rack(rack, missing, &mut selected);
     }
-    taken
+    selected
 }
 
-fn choose_in_rack<'r, 'a>(rack: &[&'r Room<'a>], most: u32, taken: &mut Taken<'r, 'a>) -> u32 {
-    let mut rooms = rack.to_vec();
-    rooms.sort_by(|left, right| left.tasks.cmp(&right.tasks).then(left.name.cmp(right.name)));
+/// Selects workers of one rack for at most `most` tasks, by the same rule as for racks. Returns the
+/// number of tasks placed.
+fn select_in_rack<'r, 'a>(
+    rack: &[&'r Candidate<'a>],
+    most: u32,
+    selected: &mut Selection<'r, 'a>,
+) -> u32 {
+    let mut candidates = rack.to_vec();
+    candidates.sort_by(|left, right| left.tasks.cmp(&right.tasks).then(left.name.cmp(right.name)));
     let mut missing = most;
-    while missing > 0 && !rooms.is_empty() {
-        let fitting = rooms.partition_point(|room| room.tasks < missing);
-        let index = if fitting < rooms.len() { fitting } else { rooms.len() - 1 };
-        let room = rooms.remove(index);
-        let tasks = room.tasks.min(missing);
+    while missing > 0 && !candidates.is_empty() {
+        let fitting = candidates.partition_point(|candidate| candidate.tasks < missing);
+        let index = if fitting < candidates.len() { fitting } else { candidates.len() - 1 };
+        let candidate = candidates.remove(index);
+        let tasks = candidate.tasks.min(missing);
         missing -= tasks;
-        taken.push((room, tasks));
+        selected.push((candidate, tasks));
     }
     most - missing
 }
--- a/crates/plan/src/policy.rs
+++ b/crates/plan/src/policy.rs
@@ -1,42 +1,44 @@
-//! Which mechanisms of the policy are in force.
+//! Switches for the mechanisms of the scheduling policy.
 
-/// Switches of the policy's mechanisms, all on unless the settings say otherwise.
+/// The mechanisms that are in use. All are on unless the settings switch them off; the fields are
+/// named as in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Run times are learned from what ran, rather than taken as declared.
+    /// Run times are learned from earlier runs, rather than taken as declared.
     pub learn_times: bool,
-    /// Run times of a step are learned from its tasks that ran or run.
+    /// Run times of a step are learned from those of its tasks that have ended or are running.
     pub learn_siblings: bool,
-    /// Progress that a run has saved is kept although the run's end is never told.
+    /// Checkpoints of a run are used even if the end of the run was never reported.
     pub keep_checkpoints: bool,
-    /// A planner learns run times also from what ended under earlier ones.
+    /// A planner also learns run times from runs that ended under earlier planners.
     pub keep_times: bool,
-    /// Room is kept for the first group that waits, where it comes free soonest.
+    /// Resources are reserved for the first waiting group where they are released soonest.
     pub reserve_room: bool,
-    /// The time that a caller wants a job in grows with the waves that a wide step needs.
+    /// A job's objective grows with the number of waves that a wide step needs.
     pub count_waves: bool,
-    /// An urgent job stops other work only as far as it needs to end in time as a whole.
+    /// An urgent job stops other work only as far as is needed for the complete job to end in time.
     pub limit_urgent: bool,
-    /// How long urgent work waits for room is weighed by what a wait and a stop cost.
+    /// The time that urgent work waits for resources is chosen by the expected costs of waiting and
+    /// of stopping other work.
     pub weigh_waits: bool,
-    /// What a stop costs the stopped job's caller counts when work to stop is chosen.
+    /// The lateness that a stop causes the stopped job counts when the work to stop is chosen.
     pub weigh_lateness: bool,
-    /// Some workers are left to work that loses nothing when it is stopped.
+    /// Some workers are reserved for work that loses nothing when it is stopped.
     pub spare_workers: bool,
-    /// Work waits for a while for a place near its data, or on one rack.
+    /// Work waits for some time for a worker near its data, or for workers on one rack.
     pub wait_for_rack: bool,
-    /// Work of low priority that would soon be late competes with that above.
+    /// Work of low priority that is close to its deadline competes with work of priority 1.
     pub prefer_pressing: bool,
-    /// Runs that are far slower than they should be go elsewhere.
+    /// Runs that are far slower than expected are stopped and restarted elsewhere.
     pub move_slow: bool,
-    /// Runs that make no progress go elsewhere.
+    /// Runs that are stalled are stopped and restarted elsewhere.
     pub move_still: bool,
-    /// Workers on which work fails, stands still or is slow are taken last.
+    /// Workers on which tasks fail, stall or are slow are the last choice.
     pub doubt_workers: bool,
 }
 
 impl Policy {
-    /// Switches off one mechanism by its name; whether there is one of that name.
+    /// Switches off the mechanism of the given name. Returns whether there is one.
     pub fn switch_off(&mut self, name: &str) -> bool {
         let switch = match name {
             "learn_times" => &mut self.learn_times,
--- a/crates/plan/src/rank.rs
+++ b/crates/plan/src/rank.rs
@@ -1,54 +1,56 @@
-//! The order in which groups that wait are given room.
+//! The order in which waiting groups are given resources.
 //!
-//! The load this answers: more work than room for some seconds. In order of arrival, or of
-//! deadline alone, a queue that has grown too long makes every job in it late. So a job that
-//! can still be on time goes before one of its priority that can't, and one that no longer earns its caller
-//! anything comes last; it still comes, since nobody is to starve for good.
+//! If more work arrives than the workers can do for some seconds, an order by arrival or by deadline
+//! alone makes every job in the queue late. So among jobs of one priority, those that can still
+//! meet their objective go before those that can't, and those that are of no use to their callers
+//! any more go last. These are still run, so that no job starves.
 
 use std::{cmp, time::Duration};
 
-/// What is known of a job that waits.
+/// What the order of a waiting job depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// It is within its organisation's guarantee.
+    /// Whether the job is within its organisation's guarantee.
     pub is_guaranteed: bool,
     /// Time since its acceptance.
     pub age: Duration,
-    /// Time within which its caller wants it.
+    /// Completion objective, from the acceptance.
     pub objective: Duration,
-    /// What is left to do at best.
+    /// Remaining time if it is run without further waits.
     pub remaining: Duration,
-    /// What is left to do, in processor seconds.
+    /// Work of the job in processor seconds.
     pub work: f64,
-    /// It may compete with higher priorities when it would soon be late.
+    /// Whether the job may compete with those of priority 1 when it is close to its deadline.
     pub may_press: bool,
 }
 
-/// A job later than this many objectives is of no use to its caller any more.
+/// A job that takes longer than this many times its objective is of no use to its caller any more.
 pub const USEFUL_OBJECTIVES: u32 = 3;
 
-/// Share of its objective that a job of the lowest priorities may still wait when it begins to
-/// compete with those above. Without it a burst leaves hardly any of them on time.
-const PRESSING: f64 = 0.35;
+/// Slack, as a share of the objective, below which a job of priority 2 or lower competes with those
+/// of priority 1. Without this a burst leaves hardly any of these jobs on time.
+const ESCALATION_SLACK: f64 = 0.35;
 
-/// Whether a job can still be of use to its caller.
+/// How far a job can still meet its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hope {
-    /// It can be complete within its objective.
+pub enum Feasibility {
+    /// The job can complete within its objective.
     OnTime,
-    /// It can be complete while it is still of some use.
+    /// The job can't complete within its objective, but while its result is still of some use.
     Late,
-    /// It can't.
+    /// The job can only complete when its result is of no use any more.
     Lost,
 }
 
-/// Place in the order; lower goes first.
+/// Position in the order of waiting jobs; lower ranks go first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rank {
-    hope: Hope,
+    feasibility: Feasibility,
+    /// Class by priority and guarantee. It counts first; feasibility decides within it.
     tier: u32,
+    /// Tie-breaker, in seconds.
     urgency: f64,
 }
 
@@ -62,44 +64,47 @@
 
 impl Ord for Rank {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
-        let key = |rank: &Rank| (rank.tier, rank.hope);
+        let key = |rank: &Rank| (rank.tier, rank.feasibility);
         key(self).cmp(&key(other)).then(self.urgency.total_cmp(&other.urgency))
     }
 }
 
-/// Whether a job can still be on time.
-pub fn hope(job: &Job) -> Hope {
+/// How far a job can still meet its objective, if it is run without further waits.
+pub fn feasibility(job: &Job) -> Feasibility {
     let end = job.age + job.remaining;
     if end <= job.objective {
-        Hope::OnTime
+        Feasibility::OnTime
     } else if end <= job.objective * USEFUL_OBJECTIVES {
-        Hope::Late
+        Feasibility::Late
     } else {
-        Hope::Lost
+        Feasibility::Lost
     }
 }
 
-/// Whether a job that has given way to more urgent ones would soon be late.
-fn is_pressing(job: &Job) -> bool {
+/// Whether a job is close to its deadline, and so at risk of missing it.
+fn is_at_risk(job: &Job) -> bool {
     let slack = job.objective.saturating_sub(job.age + job.remaining);
-    slack < job.objective.mul_f64(PRESSING)
+    slack < job.objective.mul_f64(ESCALATION_SLACK)
 }
 
-/// Place of a job in the order.
+/// Rank of a job among those that wait.
 pub fn rank(job: &Job) -> Rank {
-    let hope = hope(job);
-    let tier = match (job.priority, job.is_guaranteed, hope) {
+    let feasibility = feasibility(job);
+    let tier = match (job.priority, job.is_guaranteed, feasibility) {
         (0, true, _) => 0,
-        (0, false, Hope::OnTime | Hope::Late) => 1,
-        (priority, _, Hope::OnTime) if priority > 1 && job.may_press && is_pressing(job) => 3,
+        (0, false, Feasibility::OnTime | Feasibility::Late) => 1,
+        (priority, _, Feasibility::OnTime) if priority > 1 && job.may_press && is_at_risk(job) => 3,
         (priority, ..) => 2 + priority,
     };
     let end = job.age + job.remaining;
-    let limit =
-        if hope == Hope::OnTime { job.objective } else { job.objective * USEFUL_OBJECTIVES };
+    let limit = if feasibility == Feasibility::OnTime {
+        job.objective
+    } else {
+        job.objective * USEFUL_OBJECTIVES
+    };
     let slack = limit.as_secs_f64() - end.as_secs_f64();
-    // A job's caller gains about as much from a small job as from a large one of its kind, so
-    // among jobs with the same slack the shorter goes first.
+    // A small job is worth about as much to its caller as a large one of its kind, so among jobs
+    // with the same slack the shorter goes first.
     let urgency = slack + job.remaining.as_secs_f64();
-    Rank { hope, tier, urgency }
+    Rank { feasibility, tier, urgency }
 }
--- a/crates/plan/src/reclaim.rs
+++ b/crates/plan/src/reclaim.rs
@@ -1,34 +1,35 @@
-//! Chooses borrowers to evict.
+//! Chooses which borrowers to evict when an organisation reclaims its guarantee.
 
 use std::time::Duration;
 
 use sapphire_wire::{id, resource};
 
-/// A borrower that may be evicted.
+/// Tasks of one attempt on a worker that run on borrowed accelerators and may be evicted.
 #[derive(Clone, Debug)]
 pub struct Borrower {
-    /// Its attempt.
+    /// Attempt that the tasks belong to.
     pub attempt: id::Attempt,
-    /// What it takes here.
+    /// Resources that it uses on this worker.
     pub need: resource::Amount,
-    /// How long it has run; zero when it has not started.
+    /// Time since it started; zero if it has not started.
     pub ran: Duration,
-    /// Accelerators of its whole gang, which ends with it.
+    /// Number of accelerators of its complete gang, which ends with it.
     pub gang: u32,
 }
 
-/// Which borrowers go first.
+/// Order in which borrowers are evicted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// Those whose eviction may lose the least accelerator time: the youngest, by size.
+    /// Those first whose eviction loses the least accelerator time: run time multiplied by the
+    /// accelerators of the gang.
     #[default]
     Youngest,
-    /// Those with the fewest accelerators, the youngest of them first.
+    /// Those with the fewest accelerators first; the youngest first among equals.
     Smallest,
 }
 
 impl Borrower {
-    /// Cost of its eviction; the first part counts first.
+    /// Cost of the eviction, as a sort key.
     fn cost(&self, order: Order) -> (u128, u128) {
         let gang = u128::from(self.gang.max(1));
         let lost = self.ran.as_micros() * gang;
@@ -39,8 +40,9 @@
     }
 }
 
-/// The cheapest borrowers that together make room, and none that is not needed; empty when all
-/// of them would not be enough, since an eviction that starts nothing only loses work.
+/// Chooses the cheapest borrowers whose eviction frees enough resources, and none that is not
+/// needed. Chooses none if all of them together would not be enough, since an eviction that does
+/// not let a gang start only loses work.
 pub fn choose(
     mut borrowers: Vec<Borrower>,
     order: Order,
@@ -50,28 +52,32 @@
     borrowers.sort_by(|left, right| {
         (left.cost(order), &left.attempt).cmp(&(right.cost(order), &right.attempt))
     });
-    let mut room = *free;
+    let mut available = *free;
     let mut chosen = Vec::new();
     for borrower in borrowers {
-        if room.holds(need) {
+        if available.holds(need) {
             break;
         }
-        room = room.plus(&borrower.need);
+        available = available.plus(&borrower.need);
         chosen.push(borrower);
     }
-    if !room.holds(need) {
+    if !available.holds(need) {
         return Vec::new();
     }
-    spare(&mut chosen, room, need);
+    drop_unneeded(&mut chosen, available, need);
     chosen.into_iter().map(|borrower| borrower.attempt).collect()
 }
 
-/// Takes back the dearest ones that turn out not to be needed.
-fn spare(chosen: &mut Vec<Borrower>, mut room: resource::Amount, need: &resource::Amount) {
+/// Removes borrowers from the choice whose eviction is not needed, the most expensive first.
+fn drop_unneeded(
+    chosen: &mut Vec<Borrower>,
+    mut available: resource::Amount,
+    need: &resource::Amount,
+) {
     for index in (0..chosen.len()).rev() {
-        let without = room.minus(&chosen[index].need);
+        let without = available.minus(&chosen[index].need);
         if without.holds(need) {
-            room = without;
+            available = without;
             chosen.remove(index);
         }
     }
--- a/crates/plan/src/reserve.rs
+++ b/crates/plan/src/reserve.rs
@@ -1,9 +1,9 @@
-//! Room that is kept for the first groups that wait without being urgent.
+//! Reservation of resources for the first waiting groups that are not urgent.
 //!
-//! The load this answers: a gang that takes a whole worker for each of its tasks, while smaller
-//! tasks keep coming. Whatever comes free goes to one of these at once, so that the gang waits
-//! until nothing else does. Room is kept for it where it comes free soonest; work that will have
-//! ended by then may still use it.
+//! Guards against the starvation of a gang whose tasks each need a complete worker while smaller
+//! tasks keep arriving: without a reservation every released resource goes to one of these at
+//! once, and the gang waits until no other task does. Resources are reserved for it where they are
+//! released soonest. Work that will have ended by then may still use them (backfilling).
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,79 +14,82 @@
     seat::{Ask, Place, Reach},
 };
 
-/// Longest wait that is reckoned with: that of work whose end can't be told.
+/// Longest time that a reservation is expected to wait. Used for running work whose end can't be
+/// predicted.
 const LONGEST_WAIT: Duration = Duration::from_secs(3_600);
 
-/// A group that runs.
+/// A running group.
 #[derive(Clone, Copy, Debug)]
 pub struct Running<'a> {
-    /// How much longer it will run.
+    /// Expected remaining run time.
     pub remaining: Duration,
-    /// What it gives back, by index of the place.
+    /// Resources that the end of the group releases, each with the index of the place.
     pub seats: &'a [(usize, Room)],
 }
 
-/// Room that is kept.
+/// Resources that are reserved for one waiting group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reservation {
-    /// Time until all of it is expected to be free.
+    /// Expected time until all reserved resources are free.
     wait: Duration,
-    /// What is free of it already, by index of the place.
-    held: BTreeMap<usize, Room>,
+    /// Reserved resources that are free already, by index of the place.
+    reserved: BTreeMap<usize, Room>,
 }
 
 impl Reservation {
-    /// Keeps room for a group where all that it needs comes free soonest, and takes what is free
-    /// of it already from the places. Keeps nothing when the group would not fit even then.
+    /// Reserves resources for a group where all that it needs is released soonest. Those that are
+    /// free already are subtracted from the free resources of the places. Reserves nothing if the
+    /// group would not fit even after all running groups have ended.
     pub fn new<'a>(places: &mut [Place], running: &[Running<'a>], ask: &Ask, reach: Reach) -> Self {
-        let until_free = |run: &'_ Running<'a>| {
+        let release_of = |run: &'_ Running<'a>| {
             let cost = run.remaining.min(LONGEST_WAIT).as_secs_f64();
-            evict::Offer { cost, seats: run.seats }
+            evict::Release { cost, seats: run.seats }
         };
-        let ends: Vec<evict::Offer<'_>> = running.iter().map(until_free).collect();
-        let Some(outcome) = evict::choose(places, &ends, ask, reach) else {
+        let releases: Vec<evict::Release<'_>> = running.iter().map(release_of).collect();
+        let Some(outcome) = evict::choose(places, &releases, ask, reach) else {
             return Reservation::default();
         };
-        let wait = outcome.victims.iter().map(|at| ends[*at].cost).fold(0.0, f64::max);
-        let mut held = BTreeMap::new();
+        let wait = outcome.victims.iter().map(|at| releases[*at].cost).fold(0.0, f64::max);
+        let mut reserved = BTreeMap::new();
         for seat in &outcome.seats {
             let place = &mut places[seat.place];
-            let kept = ask.room.times(seat.tasks.into());
-            let left = place.free.minus(kept);
-            held.insert(seat.place, place.free.minus(left));
-            place.owed = place.owed.plus(kept.minus(place.free));
-            place.free = left;
+            let needed = ask.room.times(seat.tasks.into());
+            let remaining_free = place.free.minus(needed);
+            reserved.insert(seat.place, place.free.minus(remaining_free));
+            place.owed = place.owed.plus(needed.minus(place.free));
+            place.free = remaining_free;
         }
-        Reservation { wait: Duration::from_secs_f64(wait), held }
+        Reservation { wait: Duration::from_secs_f64(wait), reserved }
     }
 
-    /// Time until all of it is expected to be free.
+    /// Expected time until all reserved resources are free.
     pub fn wait(&self) -> Duration {
         self.wait
     }
 
-    /// Whether anything that is free is kept from work that takes so long.
+    /// Whether work of the given run time may use some of the reserved resources, since it will
+    /// have ended before the reservation needs them.
     pub fn is_open(&self, time: Duration) -> bool {
-        time <= self.wait && !self.held.is_empty()
+        time <= self.wait && !self.reserved.is_empty()
     }
 
-    /// Puts back what is kept, for work that will have ended in time.
+    /// Adds the reserved resources to the free resources of the places, for work that
+    /// [`Self::is_open`] allows.
     pub fn open(&self, places: &mut [Place]) {
-        for (at, room) in &self.held {
+        for (at, room) in &self.reserved {
             places[*at].free = places[*at].free.plus(*room);
         }
     }
 
-    /// Gives some of the room that is kept to other work.
+    /// Gives reserved resources of a place to other work. Returns the part of the requested
+    /// resources that the reservation does not cover.
     ///
-    /// Guards against overfilling a worker: what short work takes of the room that is kept must
-    /// not be given to the next.
-    ///
-    /// Returns what it can't give.
+    /// Guards against overcommitting a worker: reserved resources that short work uses must not be
+    /// given to the next.
     pub fn give(&mut self, at: usize, room: Room) -> Room {
-        let Some(held) = self.held.get_mut(&at) else { return room };
-        let left = room.minus(*held);
-        *held = held.minus(room);
-        left
+        let Some(reserved) = self.reserved.get_mut(&at) else { return room };
+        let uncovered = room.minus(*reserved);
+        *reserved = reserved.minus(room);
+        uncovered
     }
 }
--- a/crates/plan/src/seat.rs
+++ b/crates/plan/src/seat.rs
@@ -1,100 +1,101 @@
-//! Chooses workers for the tasks of one group: a gang, or a single task.
+//! Assignment of the tasks of one group, which is a gang or a single task, to workers.
 //!
-//! The load this answers: small tasks that scatter over all workers until no whole worker, and
-//! no whole rack, is left for a gang of eight-accelerator tasks. So a group goes where it leaves
-//! the least free, and breaks a whole worker only when nothing smaller holds it.
+//! Small tasks that were spread over all workers would leave no idle worker and no idle rack for a
+//! gang of tasks with eight accelerators each. So a group is assigned where it leaves the least
+//! free, and to an idle worker only if no partly used worker can hold it (best fit).
 
 use std::{collections::BTreeMap, rc::Rc};
 
 use sapphire_jobs::room::Room;
 
-/// A worker that may take tasks. Cheap to copy, since a search for what to stop tries many
-/// copies of all places.
+/// A worker that tasks may be assigned to. It is cheap to clone, since a search for groups to stop
+/// works on many copies of all places.
 #[derive(Clone, Debug, Default)]
 pub struct Place {
-    /// Its name.
+    /// Name of the worker.
     pub worker: Rc<str>,
-    /// Its rack.
+    /// Rack that the worker is in.
     pub rack: Rc<str>,
-    /// What steps may require of it.
+    /// Labels that steps may require of a worker.
     pub labels: Rc<[String]>,
-    /// What is free.
+    /// Free resources.
     pub free: Room,
-    /// What is to become free here and is promised to groups that wait for it.
+    /// Resources that are not free yet, but are promised to groups that wait for their release.
     pub owed: Room,
-    /// What it has in all.
+    /// Total resources.
     pub capacity: Room,
-    /// How far it is to be avoided; 0 for a sound worker.
+    /// How far the worker is to be avoided; 0 for a healthy worker.
     pub doubt: u32,
 }
 
-/// What a group needs.
+/// Requirements of a group.
 #[derive(Clone, Debug, Default)]
 pub struct Ask {
-    /// Tasks, all of which must be seated.
+    /// Number of tasks, all of which must be assigned.
     pub tasks: u32,
-    /// What each takes.
+    /// Resources that each task needs.
     pub room: Room,
-    /// Label that the worker must have; empty for any.
+    /// Label that a worker must have; empty if any worker will do.
     pub label: String,
-    /// Rack next to the data; empty for any.
+    /// Rack that is near the group's data; empty if any rack will do.
     pub near_rack: String,
-    /// The group is slower on more than one rack.
+    /// Whether the group is slower if it runs on more than one rack.
     pub wants_one_rack: bool,
-    /// Most tasks on one worker; 0 for no limit.
+    /// Maximum number of tasks on one worker; 0 for no limit.
     pub per_worker: u32,
-    /// Tasks that count towards `per_worker` already, by worker.
+    /// Number of tasks on each worker that count towards `per_worker` already.
     pub present: BTreeMap<String, u32>,
-    /// Workers on which it failed before; taken only when there is no other.
+    /// Workers on which the group failed before. They are used only if there is no other.
     pub avoid: Vec<String>,
-    /// Tasks, by their number in the group, that may go to one worker only.
+    /// Tasks that may only go to one particular worker, by their index in the group.
     pub bound: BTreeMap<u32, String>,
 }
 
-/// Where the group may go.
+/// Which workers a group may be assigned to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// Only where it runs at full speed.
+    /// Only workers on which it runs at full speed.
     Near,
-    /// Anywhere, also where it is slower.
+    /// All workers, including those on which it is slower.
     Far,
 }
 
-/// Tasks on one worker.
+/// Tasks of a group that are assigned to one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seat {
     /// Index of the place.
     pub place: usize,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
-/// A place with the number of tasks that it can take.
+/// A place with the number of tasks that it can hold.
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     index: usize,
     place: &'a Place,
     tasks: u32,
-    doubt: u32,
+    suspicion: u32,
 }
 
-/// Seats a whole group, or nothing.
+/// Assigns all tasks of a group, or none.
 pub fn seat(places: &[Place], ask: &Ask, reach: Reach) -> Option<Vec<Seat>> {
-    let options: Vec<Candidate<'_>> = (places.iter().enumerate())
-        .filter_map(|(index, place)| option(index, place, ask))
-        .filter(|option| reach == Reach::Far || is_near(option.place, ask))
+    let candidates: Vec<Candidate<'_>> = (places.iter().enumerate())
+        .filter_map(|(index, place)| candidate(index, place, ask))
+        .filter(|candidate| reach == Reach::Far || is_near(candidate.place, ask))
         .collect();
     if ask.wants_one_rack {
-        let in_one = by_rack(&options).into_values().filter_map(|rack| fill(&rack, ask));
-        let best = in_one.min_by_key(|(cost, _)| *cost).map(|(_, seats)| seats);
+        let in_one_rack = by_rack(&candidates).into_values().filter_map(|rack| fill(&rack, ask));
+        let best = in_one_rack.min_by_key(|(cost, _)| *cost).map(|(_, seats)| seats);
         if best.is_some() || reach == Reach::Near {
             return best;
         }
     }
-    fill(&options, ask).map(|(_, seats)| seats)
+    fill(&candidates, ask).map(|(_, seats)| seats)
 }
 
-fn option<'a>(index: usize, place: &'a Place, ask: &Ask) -> Option<Candidate<'a>> {
+/// A place as a candidate for a group; none if it can't hold any of its tasks.
+fn candidate<'a>(index: usize, place: &'a Place, ask: &Ask) -> Option<Candidate<'a>> {
     let has_label = ask.label.is_empty() || place.labels.contains(&ask.label);
     let mut tasks = place.free.holds(ask.room);
     if ask.per_worker > 0 {
@@ -102,35 +103,37 @@
         tasks = tasks.min(ask.per_worker.saturating_sub(present));
     }
     let is_avoided = ask.avoid.iter().any(|name| **name == *place.worker);
-    let doubt = place.doubt + u32::from(is_avoided) * AVOIDED;
-    (has_label && tasks > 0).then_some(Candidate { index, place, tasks, doubt })
+    let suspicion = place.doubt + u32::from(is_avoided) * AVOIDED_SUSPICION;
+    (has_label && tasks > 0).then_some(Candidate { index, place, tasks, suspicion })
 }
 
-/// Doubt about a worker on which the group has failed before: above that of any other worker.
-const AVOIDED: u32 = 100;
+/// Suspicion that is added for a worker on which the group failed before. It exceeds that of any
+/// other worker.
+const AVOIDED_SUSPICION: u32 = 100;
 
 fn is_near(place: &Place, ask: &Ask) -> bool {
     ask.near_rack.is_empty() || *place.rack == *ask.near_rack
 }
 
-fn by_rack<'a>(options: &[Candidate<'a>]) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
+fn by_rack<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
     let mut racks: BTreeMap<&str, Vec<Candidate<'_>>> = BTreeMap::new();
-    for option in options {
-        racks.entry(&option.place.rack).or_default().push(*option);
+    for candidate in candidates {
+        racks.entry(&candidate.place.rack).or_default().push(*candidate);
     }
     racks
 }
 
-/// Lower is better: doubt, distance from the data, whole workers broken, what is left free.
+/// Cost of an assignment, compared in this order: suspicion, number of workers away from the data,
+/// number of idle workers used in part, and accelerators left free.
 type Cost = (u32, u32, u32, u64);
 
-/// Seats the group on as few workers as can be, the tightest first.
-fn fill(options: &[Candidate<'_>], ask: &Ask) -> Option<(Cost, Vec<Seat>)> {
-    let total: u64 = options.iter().map(|option| u64::from(option.tasks)).sum();
+/// Assigns the group to as few workers as possible, those with the least left free first.
+fn fill(candidates: &[Candidate<'_>], ask: &Ask) -> Option<(Cost, Vec<Seat>)> {
+    let total: u64 = candidates.iter().map(|candidate| u64::from(candidate.tasks)).sum();
     if total < u64::from(ask.tasks) {
         return None;
     }
-    let mut left: Vec<Candidate<'_>> = options.to_vec();
+    let mut unused: Vec<Candidate<'_>> = candidates.to_vec();
     let mut missing = ask.tasks;
     let mut cost: Cost = (0, 0, 0, 0);
     let mut seats = Vec::new();
@@ -138,23 +141,23 @@
     while missing > 0 {
         let best = match bound.pop_first() {
             Some((worker, tasks)) => {
-                let at = left.iter().position(|option| *option.place.worker == *worker)?;
-                (left[at].tasks >= tasks).then_some(at)?
+                let at = unused.iter().position(|candidate| *candidate.place.worker == *worker)?;
+                (unused[at].tasks >= tasks).then_some(at)?
             }
-            None => (0..left.len()).min_by_key(|at| preference(&left[*at], ask, missing))?,
+            None => (0..unused.len()).min_by_key(|at| preference(&unused[*at], ask, missing))?,
         };
-        let option = left.swap_remove(best);
-        let own = bound.values().sum::<u32>();
-        let tasks = option.tasks.min(missing - own.min(missing));
+        let candidate = unused.swap_remove(best);
+        let bound_elsewhere = bound.values().sum::<u32>();
+        let tasks = candidate.tasks.min(missing - bound_elsewhere.min(missing));
         missing -= tasks;
-        let (doubt, far, broken, free) = step_cost(&option, ask, tasks);
-        cost = (cost.0 + doubt, cost.1 + far, cost.2 + broken, cost.3 + free);
-        seats.push(Seat { place: option.index, tasks });
+        let (suspicion, far, broken, free) = candidate_cost(&candidate, ask, tasks);
+        cost = (cost.0 + suspicion, cost.1 + far, cost.2 + broken, cost.3 + free);
+        seats.push(Seat { place: candidate.index, tasks });
     }
     Some((cost, seats))
 }
 
-/// Tasks that may go to one worker only, by worker.
+/// Number of tasks that may only go to one particular worker, by worker.
 fn bound(ask: &Ask) -> BTreeMap<&str, u32> {
     let mut bound: BTreeMap<&str, u32> = BTreeMap::new();
     for worker in ask.bound.values() {
@@ -163,38 +166,45 @@
     bound
 }
 
-fn step_cost(option: &Candidate<'_>, ask: &Ask, tasks: u32) -> Cost {
-    let is_whole = option.place.free == option.place.capacity;
-    let left = option.place.free.minus(ask.room.times(tasks.into())).accelerators;
-    let broken = u32::from(is_whole && left > 0);
-    (option.doubt, u32::from(!is_near(option.place, ask)), broken, left)
+/// Cost of assigning some tasks to one candidate.
+fn candidate_cost(candidate: &Candidate<'_>, ask: &Ask, tasks: u32) -> Cost {
+    let is_idle = candidate.place.free == candidate.place.capacity;
+    let left = candidate.place.free.minus(ask.room.times(tasks.into())).accelerators;
+    let broken = u32::from(is_idle && left > 0);
+    (candidate.suspicion, u32::from(!is_near(candidate.place, ask)), broken, left)
 }
 
-/// Order in which workers are taken: sound ones, near ones, those that hold all that is missing
-/// and leave the least; otherwise those that hold the most.
-fn preference(option: &Candidate<'_>, ask: &Ask, missing: u32) -> (u32, u32, u32, u32, u64, u64) {
-    let (doubt, far, broken, left) = step_cost(option, ask, option.tasks.min(missing));
-    let shortfall = missing.saturating_sub(option.tasks);
-    let cores = option.place.free.millicores;
-    (doubt, far, shortfall, broken, left, cores)
+/// Sort key of the order in which workers are used: healthy ones first, then those near the data,
+/// then those that hold all tasks that are left and leave the least free, then those that hold the
+/// most tasks.
+fn preference(
+    candidate: &Candidate<'_>,
+    ask: &Ask,
+    missing: u32,
+) -> (u32, u32, u32, u32, u64, u64) {
+    let (suspicion, far, broken, left) =
+        candidate_cost(candidate, ask, candidate.tasks.min(missing));
+    let shortfall = missing.saturating_sub(candidate.tasks);
+    let cores = candidate.place.free.millicores;
+    (suspicion, far, shortfall, broken, left, cores)
 }
 
-/// Places for work that can wait and would be lost if it were stopped: without the last `keep`
-/// workers on which nothing runs.
+/// Places for work that can wait and that a stop would lose: the last `keep` healthy workers on which
+/// nothing runs are reserved, that is, shown without free resources.
 ///
-/// The load this answers: urgent tasks that need a whole worker while long ones have spread over
-/// all of them. Each then stops work that has run for seconds; a worker or two that only work
-/// with nothing to lose may take spares that.
+/// Guards against urgent tasks, each of which needs a complete worker, having to stop work that has
+/// run for seconds because long tasks have spread over all workers. This is avoided by one or two
+/// workers that only work with nothing to lose may use.
 pub fn spare(places: &[Place], keep: usize) -> Vec<Place> {
-    let is_whole = |place: &Place| place.free == place.capacity && place.doubt == 0;
-    let mut whole = places.iter().filter(|place| is_whole(place)).count();
-    let mut spared = places.to_vec();
-    for place in spared.iter_mut().filter(|place| is_whole(place)) {
-        if whole <= keep {
+    let is_idle = |place: &Place| place.free == place.capacity && place.doubt == 0;
+    let mut idle = places.iter().filter(|place| is_idle(place)).count();
+    let mut unreserved = places.to_vec();
+    for place in unreserved.iter_mut().filter(|place| is_idle(place)) {
+        if idle <= keep {
             place.free = Room::default();
         } else {
-            whole -= 1;
+            idle -= 1;
         }
     }
-    spared
+    unreserved
 }
--- a/crates/plan/src/suspect.rs
+++ b/crates/plan/src/suspect.rs
@@ -1,121 +1,124 @@
-//! Tells workers that fail, stand still or are slow from tasks that do so anywhere.
+//! Suspicion of workers on which tasks fail, stall or are slow.
 //!
-//! The load this answers: a worker that fails whatever it starts is always free, so that every
-//! waiting task goes there next and burns its attempts. One failure makes a worker the last
-//! choice for a moment, each further one in a row for longer; a success clears it.
+//! A worker that fails whatever it starts is always free, so that every waiting task would go there
+//! next and use up its attempts. One failure makes a worker the last choice for a short time, each
+//! further consecutive failure for longer; a success clears it.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Time for which one failure makes a worker the last choice. About as long as one urgent task
-/// runs, so that one task of its own bad luck costs little room.
-const FIRST: Duration = Duration::from_secs(3);
-/// Longest time for which a worker is the last choice, after which it is tried again.
-const LONGEST: Duration = Duration::from_secs(24);
-/// Time for which a worker counts as sound after a task there was at speed. Two looks at all runs
-/// and the longest interval of lists: a worker may turn slow at any moment.
-const SOUND: Duration = Duration::from_millis(1_200);
-/// Time for which a worker is the last choice after a task there was seen to stand still.
-const STILL: Duration = Duration::from_secs(1);
-/// Failures in a row after which a worker takes nothing at all for the time.
-const CLOSED_AFTER: u32 = 2;
+/// Time for which one failure makes a worker the last choice. This is about the run time of one
+/// urgent task, so that a failure that the task itself caused costs little capacity.
+const FIRST_AVOIDANCE: Duration = Duration::from_secs(3);
+/// Maximum time for which a worker is the last choice or excluded, after which it is tried again.
+const MAX_AVOIDANCE: Duration = Duration::from_secs(24);
+/// Time for which a worker counts as running at the expected speed after a task there did. Covers
+/// two checks of all runs and the longest interval between a minion's lists; not longer, since a
+/// worker may become slow at any moment.
+const SPEED_VALIDITY: Duration = Duration::from_millis(1_200);
+/// Time for which a worker is the last choice after a task there was found to be stalled.
+const STALL_AVOIDANCE: Duration = Duration::from_secs(1);
+/// Number of consecutive failures from which a worker is excluded, rather than the last choice.
+const EXCLUDE_AT: u32 = 2;
 
-/// How much a worker is to be avoided.
+/// How far a worker is to be avoided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Doubt {
-    /// Not at all.
+    /// The worker is not suspect.
     None,
-    /// Taken only when there is no other.
+    /// The worker is used only if there is no other.
     Last,
-    /// Takes nothing.
+    /// The worker is given no tasks.
     Closed,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    /// Failures in a row.
-    in_a_row: u32,
-    /// It is avoided for its failures until then.
-    until: Duration,
-    /// Times that it was found slow since it was last found to be at speed.
-    slow_times: u32,
-    /// It is avoided for its speed until then.
+    /// Number of consecutive failures.
+    failures: u32,
+    /// Time until which it is avoided because of failures.
+    failed_until: Duration,
+    /// Number of times that it was found to be slow since it last ran at the expected speed.
+    slow_count: u32,
+    /// Time until which it is avoided because it is slow.
     slow_until: Duration,
-    /// It is avoided until then, since a task there stands still.
-    still_until: Duration,
-    /// When a task there was last seen at the speed that it should have.
-    at_speed: Option<Duration>,
+    /// Time until which it is avoided because a task there is stalled.
+    stalled_until: Duration,
+    /// Time at which a task there was last found to run at the expected speed.
+    last_at_speed: Option<Duration>,
 }
 
 impl Record {
+    /// Time until which it is the last choice, for whichever reason.
     fn avoided_until(&self) -> Duration {
-        self.until.max(self.slow_until).max(self.still_until)
+        self.failed_until.max(self.slow_until).max(self.stalled_until)
     }
 }
 
-/// What has been seen of each worker.
+/// Observations of each worker that decide whether it is suspect.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     workers: BTreeMap<String, Record>,
 }
 
 impl Suspects {
-    /// A task was done there. Its speed is another matter.
+    /// Records that a task succeeded on a worker. This clears failures, but not slowness.
     pub fn succeeded(&mut self, worker: &str) {
         if let Some(record) = self.workers.get_mut(worker) {
-            record.in_a_row = 0;
-            record.until = Duration::ZERO;
+            record.failures = 0;
+            record.failed_until = Duration::ZERO;
         }
     }
 
-    /// A task there is as fast as it should be.
+    /// Records that a task on a worker runs at the expected speed.
     pub fn at_speed(&mut self, worker: &str, now: Duration) {
         let record = self.workers.entry(worker.to_owned()).or_default();
-        record.slow_times = 0;
-        record.at_speed = Some(now);
+        record.slow_count = 0;
+        record.last_at_speed = Some(now);
     }
 
-    /// Whether a task there was as fast as it should be not long ago.
+    /// Whether a task on a worker ran at the expected speed a short time ago.
     pub fn is_at_speed(&self, worker: &str, now: Duration) -> bool {
-        let seen = self.workers.get(worker).and_then(|record| record.at_speed);
-        seen.is_some_and(|seen| now < seen + SOUND)
+        let seen = self.workers.get(worker).and_then(|record| record.last_at_speed);
+        seen.is_some_and(|seen| now < seen + SPEED_VALIDITY)
     }
 
-    /// A task failed there, stood still or fell far behind.
+    /// Records that a task failed on a worker, or that its minion refused one because it is unhealthy
+    /// or has too few free resources.
     pub fn failed(&mut self, worker: &str, now: Duration) {
         let record = self.workers.entry(worker.to_owned()).or_default();
-        record.in_a_row += 1;
-        let time = FIRST * 2_u32.pow((record.in_a_row - 1).min(8));
-        record.until = now + time.min(LONGEST);
+        record.failures += 1;
+        let time = FIRST_AVOIDANCE * 2_u32.pow((record.failures - 1).min(8));
+        record.failed_until = now + time.min(MAX_AVOIDANCE);
     }
 
-    /// A task there stands still, as it may do at several looks in a row. The worker is the last
-    /// choice for a moment after the last of them.
+    /// Records that a task on a worker was found to be stalled, as several checks in a row may do.
+    /// The worker is the last choice for a short time after the last of them.
     pub fn stands_still(&mut self, worker: &str, now: Duration) {
         let record = self.workers.entry(worker.to_owned()).or_default();
-        record.still_until = now + STILL;
+        record.stalled_until = now + STALL_AVOIDANCE;
     }
 
-    /// A task there is far slower than it should be. It is the last choice for a moment, for
-    /// longer each time that it is found to be slow again.
+    /// Records that a task on a worker runs far slower than expected. The worker is the last choice
+    /// for a short time, which grows each time that it is found to be slow again.
     pub fn slowed(&mut self, worker: &str, now: Duration) {
         let record = self.workers.entry(worker.to_owned()).or_default();
         if now >= record.slow_until {
-            record.slow_times += 1;
+            record.slow_count += 1;
         }
-        let time = FIRST * 2_u32.pow(record.slow_times.saturating_sub(1).min(8));
-        record.slow_until = record.slow_until.max(now + time.min(LONGEST));
+        let time = FIRST_AVOIDANCE * 2_u32.pow(record.slow_count.saturating_sub(1).min(8));
+        record.slow_until = record.slow_until.max(now + time.min(MAX_AVOIDANCE));
     }
 
-    /// The worker's minion has been replaced by another.
+    /// Drops what is known of a worker, since its minion has been replaced by another.
     pub fn forget(&mut self, worker: &str) {
         self.workers.remove(worker);
     }
 
-    /// How much a worker is to be avoided now.
+    /// How far a worker is to be avoided at the given time.
     pub fn doubt(&self, worker: &str, now: Duration) -> Doubt {
         match self.workers.get(worker) {
-            Some(record) if now < record.until && record.in_a_row >= CLOSED_AFTER => Doubt::Closed,
-            Some(record) if now < record.avoided_until() => Doubt::Last,
+            Some(it) if now < it.failed_until && it.failures >= EXCLUDE_AT => Doubt::Closed,
+            Some(it) if now < it.avoided_until() => Doubt::Last,
             _ => Doubt::None,
         }
     }
--- a/crates/plan/src/wait.rs
+++ b/crates/plan/src/wait.rs
@@ -1,71 +1,76 @@
-//! How long an urgent group waits for work to end by itself rather than have it stopped.
+//! Costs of waiting and of stopping, by which an urgent group either waits for running work to end
+//! by itself or has it stopped.
 //!
-//! The load this answers: a burst of urgent jobs while every worker is busy. A stop throws work
-//! away, a wait may make the urgent job late, and both can be told beforehand only roughly: run
-//! times are known with a spread only. So each wait is weighed by what it is likely to cost.
+//! In a burst of urgent jobs all workers are busy. Stopping work throws away what it has done, and
+//! waiting may make the urgent job late. Neither can be predicted exactly, since run times are
+//! known only as a median and a spread, so expected costs are compared.
 
 use std::time::Duration;
 
 use crate::estimate::Estimate;
 
-/// Least spread of a run time: the pace of any run varies a little.
-const LEAST_SPREAD: f64 = 0.1;
-/// What a late urgent job costs its caller, in processor seconds of work thrown away. Below what the
-/// lateness alone is worth, since a stop also makes others late.
+/// Minimum spread of a run time, as the standard deviation of its logarithm: the speed of any run
+/// varies a little.
+const MIN_SPREAD: f64 = 0.1;
+/// Cost of a late urgent job, in processor seconds of lost work that are as bad. This is below what
+/// the lateness alone costs the caller, since a stop also makes other jobs late.
 pub const LATE_COST: f64 = 400.0;
-/// Steepness at which the logistic curve follows the normal distribution within 0.01.
-const LOGISTIC: f64 = 1.702;
+/// Factor at which the logistic function approximates the cumulative normal distribution to within
+/// 0.01.
+const LOGISTIC_SCALE: f64 = 1.702;
 
-/// An urgent job without room.
+/// An urgent job that waits for resources.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// Time since its acceptance.
     pub age: Duration,
-    /// How long it is expected to run.
+    /// Expected run time.
     pub expected: Estimate,
-    /// Time that it takes beside its wait and its run.
+    /// Time that it takes in addition to its wait and its run, such as for messages.
     pub overhead: Duration,
-    /// Its objective in multiples of its run time.
+    /// Completion objective as a multiple of its run time.
     pub slack: f64,
-    /// What its objective has beside that.
+    /// Fixed time that the objective adds to that multiple.
     pub latency: Duration,
 }
 
-/// The chance that a job is late after one more wait.
+/// Probability that a job misses its objective if it waits for `wait` from now.
 ///
-/// Its objective grows with its run time, so it is late when it turns out to be short: when the
-/// part of the objective that the run leaves does not cover what it has waited.
+/// The objective grows with the run time, so the job is late if its run time turns out to be
+/// short: if the slack, which is the objective less the run time, does not cover the time waited.
 pub fn chance_late(job: &Job, wait: Duration) -> f64 {
     let waited = (job.age + wait + job.overhead).as_secs_f64() - job.latency.as_secs_f64();
     if waited <= 0.0 {
         return 0.0;
     }
-    let share = job.slack - 1.0;
-    if share <= 0.0 {
+    let slack_ratio = job.slack - 1.0;
+    if slack_ratio <= 0.0 {
         return 1.0;
     }
-    let longest_late = waited / share;
+    let longest_late_run = waited / slack_ratio;
     let expected = job.expected.centre.as_secs_f64().max(f64::MIN_POSITIVE);
-    let spread = job.expected.spread.max(LEAST_SPREAD);
-    let deviations = (longest_late / expected).ln() / spread;
-    1.0 / (1.0 + (-LOGISTIC * deviations).exp())
+    let spread = job.expected.spread.max(MIN_SPREAD);
+    let deviations = (longest_late_run / expected).ln() / spread;
+    1.0 / (1.0 + (-LOGISTIC_SCALE * deviations).exp())
 }
 
-/// What a wait is likely to cost, in processor seconds: the work that is stopped after it, and
-/// the lateness of the job.
+/// Expected cost of a wait in processor seconds: `stopped`, which is lost by the stops that are
+/// needed after it, and the expected lateness of the job.
 pub fn cost(job: &Job, wait: Duration, stopped: f64) -> f64 {
     stopped + LATE_COST * chance_late(job, wait)
 }
 
-/// Mean time that stopped work waits for room again at the worst load.
-const ROOM_AGAIN: f64 = 4.0;
+/// Mean time in seconds that stopped work waits for resources again at peak load.
+const MEAN_REQUEUE_SECONDS: f64 = 4.0;
 
-/// What a stop is likely to cost the caller of the stopped job beside the work that is lost, in
-/// processor seconds. `slack` is the time by which the job would be early if it went on.
+/// Expected cost of the lateness that a stop causes the stopped job, in processor seconds, in
+/// addition to the work that is lost. `slack` is the time by which the job would be early if it were
+/// not stopped.
 ///
-/// The load this answers: work that saves its progress costs next to nothing to stop, so a burst
-/// of urgent jobs stops it again and again, until it is late although little of it was lost.
+/// Guards against work that saves checkpoints being stopped again and again by a burst of urgent
+/// jobs, because the stop itself costs next to nothing: little of it is lost, but it ends late.
 pub fn stop_lateness(priority: u32, slack: Duration) -> f64 {
-    let chance = if slack.is_zero() { 0.0 } else { (-slack.as_secs_f64() / ROOM_AGAIN).exp() };
-    LATE_COST * chance / f64::from(priority + 1)
+    let probability =
+        if slack.is_zero() { 0.0 } else { (-slack.as_secs_f64() / MEAN_REQUEUE_SECONDS).exp() };
+    LATE_COST * probability / f64::from(priority + 1)
 }
--- a/crates/plan/src/waves.rs
+++ b/crates/plan/src/waves.rs
@@ -1,30 +1,31 @@
-//! How many rounds a step needs whose tasks don't all fit at once, and how many of its tasks have
-//! to run at the same time for it to end in time.
+//! Waves of a wide step: the number of rounds that it needs when its tasks don't all fit at once,
+//! and the number of its tasks that must run at the same time for it to complete in time.
 //!
-//! The load this answers: an urgent job of fourteen tasks, each as large as a worker, on eleven
-//! busy workers. Decided task by task, the fleet was cleared for all fourteen, though three can't
-//! start before others end and the caller allows for that.
+//! Guards against an urgent job stopping more work than helps it. For example, if fourteen tasks
+//! that each need a complete worker were considered one by one on eleven busy workers, everything
+//! would be stopped for all fourteen, although three of them can't start before others end and the
+//! objective allows for that.
 
 use std::time::Duration;
 
-/// A step wider than this share of the workers is expected to be done in waves.
-const SHARE: f64 = 0.25;
+/// Share of the workers that a step is expected to get. A wider step is done in waves.
+const EXPECTED_SHARE: f64 = 0.25;
 
-/// A step that is not a gang.
+/// Width of a step that is not a gang.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Width {
-    /// Its tasks.
+    /// Number of tasks of the step.
     pub tasks: u32,
-    /// Tasks of this size that the workers hold together; 0 while that isn't known.
+    /// Number of tasks of this size that fit on all workers together; 0 if that is not known.
     pub fits: u64,
 }
 
-/// Waves that the caller of a step allows for.
+/// Number of waves that the job's objective allows for.
 pub fn allowed(width: Width) -> u32 {
-    waves(width.tasks, width.fits as f64 * SHARE)
+    waves(width.tasks, width.fits as f64 * EXPECTED_SHARE)
 }
 
-/// Waves that a step takes when it has all workers to itself.
+/// Number of waves that the step takes if all workers are free for it.
 pub fn at_best(width: Width) -> u32 {
     waves(width.tasks, width.fits as f64)
 }
@@ -37,8 +38,8 @@
     (waves as u32).clamp(1, tasks)
 }
 
-/// How many of `tasks` must run at the same time to be done within `left` if each takes `each`;
-/// none when even all at once would not be.
+/// Number of `tasks` that must run at the same time for all to complete within `left` if each takes
+/// `each`. None if they would not complete in time even if all ran at once.
 pub fn needed(tasks: u32, each: Duration, left: Duration) -> Option<u32> {
     let rounds = left.as_secs_f64() / each.as_secs_f64().max(f64::MIN_POSITIVE);
     let rounds = rounds.floor().min(f64::from(u32::MAX)) as u32;
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -1,4 +1,5 @@
-//! Reclaim, estimates and the pass over waiting jobs.
+//! Tests of the scheduling decisions: reclaim, estimates, quarantine, the pass over waiting jobs,
+//! admission, waiting and preemption, pace, reservations and the assignment of tasks to workers.
 
 use std::time::Duration;
 
@@ -23,9 +24,10 @@
     reclaim::Borrower { attempt: attempt.into(), need: amount(accelerators), ran, gang }
 }
 
-/// A guaranteed gang needs four accelerators. Two young borrowers of two would do, or an old one
-/// of four: the young ones go. By size, the smallest gang goes first. And when all of them
-/// together would not be enough, none goes: its work would be lost for nothing.
+/// A guaranteed gang needs four accelerators. Evicting two young borrowers of two accelerators each
+/// would be enough, or an old one of four: the young ones are evicted. Ordered by size, the smallest
+/// gang goes first. If all borrowers together would not be enough, none is evicted, since its work
+/// would be lost in vain.
 #[test]
 fn the_cheapest_borrowers_are_evicted_and_none_in_vain() {
     let all = || vec![borrower("old", 4, 900, 4), borrower("a", 2, 10, 2), borrower("b", 2, 20, 2)];
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn a_borrower_that_is_not_needed_after_all_is_spared() {
+fn a_borrower_whose_eviction_is_not_needed_is_kept() {
     let all = vec![borrower("small", 1, 10, 1), borrower("large", 4, 900, 4)];
     let chosen = reclaim::choose(all, reclaim::Order::Youngest, &amount(0), &amount(4));
     assert_eq!(chosen, ["large"]);
@@ -53,10 +55,10 @@
     }
 }
 
-/// An organisation declares ten times what its jobs take. After some of them its declared times
-/// are believed a tenth.
+/// An organisation declares ten times the run time of its jobs. After some jobs, a tenth of a declared
+/// time is expected.
 #[test]
-fn declared_times_are_corrected_by_what_jobs_showed() {
+fn declared_times_are_corrected_by_observed_run_times() {
     let mut estimates = estimate::Estimates::default();
     let shape = Shape { accelerators: 1, tasks: 1, ..Shape::default() };
     let job = |seconds: u64| job(1, "o", shape, seconds * 1_000);
@@ -68,10 +70,11 @@
     assert!((90..200).contains(&expected), "{expected}");
 }
 
-/// A worker fails each task that it starts while the others do well. After three jobs it is set
-/// aside, and on its return once more, for longer; a success makes it well again.
+/// Every task fails on one worker and succeeds on the others. After failures of three jobs the worker
+/// is quarantined. If it fails again after that, it is quarantined for longer; a success ends its
+/// probation.
 #[test]
-fn a_worker_that_fails_every_task_is_set_aside() {
+fn a_worker_on_which_every_task_fails_is_quarantined() {
     let mut health = health::Health::default();
     let good: Vec<String> = vec!["w1".into(), "w2".into()];
     for _ in 0..5 {
@@ -79,7 +82,7 @@
     }
     let second = Duration::from_secs(1);
     assert_eq!(health.failed(second, "bad", "j1"), None);
-    assert_eq!(health.failed(second, "bad", "j1"), None, "one job failing twice is no streak");
+    assert_eq!(health.failed(second, "bad", "j1"), None, "the same job failing twice counts once");
     assert_eq!(health.failed(second, "bad", "j2"), None);
     assert_eq!(health.failed(second, "bad", "j3"), Some(second * 60));
     assert_eq!(health.aside(second * 60).collect::<Vec<_>>(), ["bad"]);
@@ -89,10 +92,10 @@
     assert_eq!(health.failed(second * 300, "bad", "j5"), None);
 }
 
-/// Somebody submits two hundred jobs that all fail. They fail on every worker, and none is set
-/// aside: the good jobs behind them need all of them.
+/// Guards against two hundred faulty jobs, which fail on every worker, quarantining workers that the
+/// correct jobs behind them need.
 #[test]
-fn a_wave_of_bad_jobs_sets_no_worker_aside() {
+fn a_wave_of_faulty_jobs_quarantines_no_worker() {
     let mut health = health::Health::default();
     for job in 0..200 {
         let worker = format!("w{}", job % 6);
@@ -130,7 +133,7 @@
     )
 }
 
-/// The same cases in every run.
+/// Configuration with a fixed seed, so that every run tests the same cases.
 fn fixed() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(1);
     ProptestConfig { cases: 256, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -139,11 +142,11 @@
 proptest! {
     #![proptest_config(fixed())]
 
-    /// Whatever waits: each start is a whole gang within its adjacency, borrowers take only what
-    /// is free, and nobody borrows beyond its quota.
+    /// Whatever jobs wait, each start is a complete gang within its adjacency, borrowers use only
+    /// free accelerators, and no organisation borrows beyond its quota.
     #[test]
-    fn a_pass_starts_only_whole_gangs_that_fit(jobs in proptest::collection::vec(shapes(), 0..40)) {
-        let rules = file::File::parse(RULES).expect("the rules are good");
+    fn a_pass_starts_only_complete_gangs_that_fit(jobs in proptest::collection::vec(shapes(), 0..40)) {
+        let rules = file::File::parse(RULES).expect("the rules are valid");
         let jobs: Vec<Job> = jobs
             .into_iter()
             .enumerate()
@@ -192,10 +195,10 @@
     }
 }
 
-/// A burst of urgent jobs meets workers that are all busy. Those that waited as long as their
-/// expected run time allows were late half of the time, since run times are known only roughly.
+/// In a burst, urgent jobs that wait as long as the slack of their expected run time allows are late
+/// half of the time, since run times are not known exactly.
 #[test]
-fn a_wait_of_the_whole_slack_is_late_half_of_the_time() {
+fn a_job_that_waits_for_its_complete_slack_is_late_half_of_the_time() {
     let job = wait::Job {
         age: Duration::ZERO,
         expected: estimate::Estimate { centre: Duration::from_millis(2_500), spread: 0.5 },
@@ -217,10 +220,10 @@
     assert!(wait::chance_late(&no_slack, Duration::ZERO) > 0.99);
 }
 
-/// Work that a stop would throw away is waited for when it is much and stopped when it is little;
-/// a job that is late in any case stops nothing that it can wait for.
+/// Running work is waited for if a stop would lose much of it, and stopped if it would lose little. A
+/// job that is late in any case does not stop work that it can wait for.
 #[test]
-fn a_wait_is_weighed_against_what_a_stop_throws_away() {
+fn a_wait_is_weighed_against_the_work_that_a_stop_loses() {
     let job = wait::Job {
         age: Duration::ZERO,
         expected: estimate::Estimate { centre: Duration::from_millis(2_500), spread: 0.5 },
@@ -238,41 +241,41 @@
     assert!(!prefers_stop(&late, 10.0));
 }
 
-/// Ten times more batch work than the workers can do comes for minutes. Each job was taken in, and
-/// all but the first waited until their callers had no use for them. Replayed second by second:
-/// what is taken in can still be of use, the others are told when to come, and urgent jobs are
-/// taken in all the time.
+/// For minutes, ten times more batch work arrives than the workers can do. Guards against accepting
+/// all jobs, so that all but the first wait until their results are of no use. Simulated second by
+/// second: accepted jobs can still complete in time to be of use, the others are rejected with a time
+/// to retry after, and urgent jobs are always accepted.
 #[test]
-fn an_overload_of_minutes_turns_away_what_would_come_too_late() {
+fn jobs_that_would_complete_too_late_are_rejected_in_a_long_overload() {
     let room = Room { millicores: 5_600, memory_mib: 23_000, accelerators: 1 };
     let largest = Room { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let objective = Duration::from_secs(33);
     let batch = admit::Job { rooms: vec![room], priority: 2, objective };
     let urgent = admit::Job { priority: 0, ..batch.clone() };
     let mut drain = Duration::ZERO;
-    let mut told = Vec::new();
+    let mut rejections = Vec::new();
     for second in 0..120_u64 {
         for _ in 0..10 {
             let supply = admit::Supply { largest, drain };
             match admit::admit(&batch, Some(&supply)) {
                 admit::Outcome::Accept => drain += Duration::from_secs(1),
-                admit::Outcome::Full { after } => told.push((second, after)),
-                admit::Outcome::TooLarge { .. } => panic!("it fits"),
+                admit::Outcome::Full { after } => rejections.push((second, after)),
+                admit::Outcome::TooLarge { .. } => panic!("the job fits on a worker"),
             }
             assert_eq!(admit::admit(&urgent, Some(&supply)), admit::Outcome::Accept);
         }
         assert!(drain <= objective * 3 + Duration::from_secs(1), "{drain:?}");
         drain = drain.saturating_sub(Duration::from_secs(1));
     }
-    let (first, after) = told[0];
-    assert!((9..=13).contains(&first), "turned away from second {first}");
+    let (first, after) = rejections[0];
+    assert!((9..=13).contains(&first), "first rejection in second {first}");
     assert!(after >= Duration::from_secs(1));
 }
 
-/// A job with a task larger than any worker waits for ever. Nothing known of the workers, as after
-/// a restart of all, turns nothing away.
+/// A job with a task that is larger than any worker would wait for ever, so it is rejected. If nothing
+/// is known of the workers, as after a restart of all processes, nothing is rejected.
 #[test]
-fn a_job_that_fits_no_worker_is_turned_away() {
+fn a_job_that_fits_no_worker_is_rejected() {
     let largest = Room { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let supply = admit::Supply { largest, drain: Duration::ZERO };
     let job = |accelerators| admit::Job {
@@ -285,11 +288,11 @@
     assert_eq!(admit::admit(&job(9), None), admit::Outcome::Accept);
 }
 
-/// A committee's papers were late by 15 s, though nearly no work was lost: the job saves its
-/// progress, so it was the cheapest to stop for three urgent ones in a row, the last time 7 s before
-/// its objective. Work that is early by far is stopped first, and work that is late in any case.
+/// Guards against a job with checkpoints being stopped again and again because little work is lost:
+/// it was the cheapest to stop for three urgent jobs in a row, the last time 7 s before its deadline,
+/// and completed 15 s late. Work that is early by far or late in any case must be cheaper to stop.
 #[test]
-fn work_that_a_stop_makes_late_is_not_cheap_to_stop() {
+fn work_that_a_stop_would_make_late_is_expensive_to_stop() {
     let cost = |priority, slack| wait::stop_lateness(priority, Duration::from_secs(slack));
     assert!(cost(1, 2) > 100.0);
     assert!(cost(1, 20) < 5.0);
@@ -297,9 +300,10 @@
     assert_eq!(cost(1, 0).to_bits(), 0.0_f64.to_bits());
 }
 
-/// A step of fourteen tasks, each as large as one of eleven workers: a quarter of the workers does
-/// it in six waves, all of them in two. With nine rounds left until it is late, two at a time are
-/// enough; with one, all have to run at once; with less, it is late whatever is done.
+/// A step has fourteen tasks, each of which needs one of eleven workers: a quarter of the workers
+/// completes it in six waves, all of them in two. If there is time for nine waves until its deadline,
+/// two tasks at a time are enough; if there is time for one, all have to run at once; if there is
+/// less, the step is late in any case.
 #[test]
 fn a_wide_step_is_done_in_waves() {
     let width = waves::Width { tasks: 14, fits: 11 };
@@ -313,11 +317,11 @@
     assert_eq!([needed(18), needed(3), needed(1)], [Some(2), Some(14), None]);
 }
 
-/// Sound work is stopped and thrown away: a job runs eight times longer than declared, as do its
-/// eleven siblings, and each looks like a slow worker. Its siblings show that it is just long; one
-/// of them that is four times slower than the others is on a slow worker.
+/// Guards against stopping work on healthy workers: a task runs eight times longer than declared, and
+/// so do the other eleven tasks of its step, so that all their workers look slow. The other tasks show
+/// that it is just long. A task that is four times slower than the others is on a slow worker.
 #[test]
-fn a_long_job_blames_no_worker() {
+fn a_long_task_does_not_make_its_worker_look_slow() {
     let secs = Duration::from_secs_f64;
     let kinds = estimate::Estimates::default();
     let kind = estimate::Kind { name: "q", size: 0 };
@@ -331,26 +335,29 @@
     assert!(later.centre > secs(6.0) && later.spread < declared.spread / 2.0, "{later:?}");
 }
 
-/// A worker turns slow while a task runs there, of a kind that nobody has seen before. Its own
-/// earlier pace shows it within two seconds, well before anything of its kind has ended.
+/// A worker becomes slow while it runs a task of a kind that has not been observed before. The task's
+/// own earlier pace shows this within two seconds, well before any work of its kind has ended.
 #[test]
-fn a_change_of_pace_shows_a_slow_worker() {
+fn a_slow_worker_is_detected_by_a_change_of_pace() {
     let ms = Duration::from_millis;
     let mut track = pace::Track::new(ms(0), 1);
     for time in (400..=2_000).step_by(400) {
         track.note(ms(time), 1 + (time / 80) as u32, ms(400));
     }
-    let own = estimate::Estimate { centre: track.best().expect("told"), spread: pace::SAME_TASK };
+    let own = estimate::Estimate {
+        centre: track.best().expect("a section is complete"),
+        spread: pace::SAME_TASK,
+    };
     let verdict = |time, percent| {
-        let whole = track.present(ms(time), percent).expect("long enough");
+        let whole = track.present(ms(time), percent).expect("the section is long enough");
         pace::compare(whole, &[own])
     };
     assert_eq!(verdict(3_200, 40), pace::Verdict::Sound);
     assert_eq!(verdict(3_800, 29), pace::Verdict::Slow, "six times slower");
 }
 
-/// Declared times are off by a factor of ten either way at one customer and by a fifth at another.
-/// The spread that is learned follows, and with it how sure each decision is.
+/// Declared run times are off by a factor of ten in either direction for one organisation and by a
+/// fifth for another. The learned spread reflects this, and with it the certainty of decisions.
 #[test]
 fn the_spread_of_run_times_is_learned() {
     let kind = estimate::Kind { name: "q", size: 0 };
@@ -374,34 +381,38 @@
     assert!(near < 0.35 && far > near, "{near} {far}");
 }
 
-/// A gang of twelve whole workers stands still for five seconds after nine seconds of work, and
-/// would have gone on. It was stopped after one, and 10,000 processor seconds were done again. It
-/// waits for as long as a restart would repeat; a task that has just begun goes elsewhere at once.
+/// Guards against restarting stalled work too early: a gang on twelve complete workers stalled for
+/// five seconds after nine seconds of work and would have gone on, but was stopped after one second,
+/// so that 10,000 processor seconds were repeated. A stalled run waits for as long as the work that a
+/// restart would repeat; a task that has just begun is restarted elsewhere at once.
 #[test]
-fn what_stands_still_waits_as_long_as_a_restart_costs() {
+fn a_stalled_run_waits_for_as_long_as_a_restart_costs() {
     let secs = Duration::from_secs;
     assert!(!pace::is_worth_restarting(secs(5), secs(9)));
     assert!(pace::is_worth_restarting(secs(9), secs(9)));
     assert!(pace::is_worth_restarting(secs(2), secs(1)));
     let long = pace::still_after(Some(secs(20)), secs(20));
-    assert_eq!(long, secs(2), "each per cent of it takes a fifth of a second");
+    assert_eq!(long, secs(2), "each per cent of the run takes a fifth of a second");
     assert_eq!(pace::still_after(None, secs(20)), secs(5));
-    // When it goes on, the time in which it stood still does not make it look slow.
+    // When the run goes on, the time in which it was stalled does not make it look slow.
     let ms = Duration::from_millis;
     let mut track = pace::Track::new(ms(0), 1);
     for time in (400..=4_000).step_by(400) {
         track.note(ms(time), 1 + (time / 80) as u32, ms(400));
     }
     track.note(ms(9_400), 52, ms(5_400));
-    let whole = track.present(ms(10_400), 64).expect("long enough");
-    let own = estimate::Estimate { centre: track.best().expect("told"), spread: pace::SAME_TASK };
+    let whole = track.present(ms(10_400), 64).expect("the section is long enough");
+    let own = estimate::Estimate {
+        centre: track.best().expect("a section is complete"),
+        spread: pace::SAME_TASK,
+    };
     assert_eq!(pace::compare(whole, &[own]), pace::Verdict::Sound);
 }
 
-/// Two workers are full: one task ends by itself in a second, the other has run for long. An
-/// urgent task that has time waits for the first; one whose time is up stops the cheaper.
+/// Two workers are full: the task on one ends by itself in a second, the other is cheap to stop. An
+/// urgent task with enough slack waits for the first; one without slack stops the cheaper one.
 #[test]
-fn an_urgent_group_waits_or_stops_by_what_each_costs() {
+fn an_urgent_group_waits_or_stops_work_whichever_costs_less() {
     let room = Room { accelerators: 8, ..Room::default() };
     let place =
         |name: &str| seat::Place { worker: name.into(), capacity: room, ..Default::default() };
@@ -425,10 +436,10 @@
     };
     let (limit, stop) = (clear::LONGEST_WAIT, Duration::from_millis(400));
     let weigh = |job| clear::weigh(&places, &candidates, urgent, &job, limit, stop);
-    let patient = weigh(job(2_000)).expect("there is room to be had");
-    assert_eq!((patient.stops.as_slice(), patient.cost), (&[][..], 0.0));
-    let forced = clear::choose(&places, &candidates, urgent, Duration::ZERO, stop);
-    assert_eq!(forced.expect("there is room to be had").stops, [1]);
+    let waiting_choice = weigh(job(2_000)).expect("stops make it fit");
+    assert_eq!((waiting_choice.stops.as_slice(), waiting_choice.cost), (&[][..], 0.0));
+    let immediate_choice = clear::choose(&places, &candidates, urgent, Duration::ZERO, stop);
+    assert_eq!(immediate_choice.expect("stops make it fit").stops, [1]);
     let whole = clear::Candidate { priority: 0, ..candidates[0].clone() };
     assert_eq!(clear::choose(&places[..1], &[whole], urgent, Duration::ZERO, stop), None);
 }
@@ -444,10 +455,10 @@
     }
 }
 
-/// Guards against room that is kept for two groups at once: the second would find it taken, and
-/// what comes free elsewhere meanwhile would go to others.
+/// Guards against reserving the same resources for two groups: the second group would find them in
+/// use, and resources that are released elsewhere meanwhile would go to other groups.
 #[test]
-fn room_is_kept_for_each_of_several_groups_apart() {
+fn each_group_has_a_reservation_of_its_own() {
     let whole = Room { millicores: 1_000, memory_mib: 1_000, accelerators: 8 };
     let mut places = vec![place("w1", "r1", 8, 0), place("w2", "r1", 8, 0)];
     let seats = [[(0, whole)], [(1, whole)]];
@@ -457,17 +468,18 @@
         .map(|(seconds, seats)| reserve::Running { remaining: Duration::from_secs(seconds), seats })
         .collect();
     let ask = seat::Ask { tasks: 1, room: whole, ..seat::Ask::default() };
-    let mut keep = || reserve::Reservation::new(&mut places, &running, &ask, seat::Reach::Far);
-    let (first, second, third) = (keep(), keep(), keep());
+    let mut reserve = || reserve::Reservation::new(&mut places, &running, &ask, seat::Reach::Far);
+    let (first, second, third) = (reserve(), reserve(), reserve());
     assert_eq!(first.wait(), Duration::from_secs(3));
     assert_eq!(second.wait(), Duration::from_secs(6));
-    assert_eq!(third, reserve::Reservation::default(), "nothing is left to keep");
+    assert_eq!(third, reserve::Reservation::default(), "nothing is left to reserve");
 }
 
-/// A gang that wants one rack is to stop the cheapest work that makes room in one rack, whatever
-/// runs in the others: the racks are searched one by one, and each finds the same as alone.
+/// For a gang that wants one rack, the cheapest work whose stop makes it fit in one rack is searched
+/// for. The racks are searched one by one, and the result for each is the same as if there were no
+/// others.
 #[test]
-fn a_rack_is_searched_as_if_there_were_no_other() {
+fn each_rack_is_searched_independently_of_the_others() {
     let room = |accelerators| Room { millicores: 0, memory_mib: 0, accelerators };
     let places: Vec<seat::Place> = (0..6)
         .map(|at| seat::Place {
@@ -484,26 +496,26 @@
         })
         .collect();
     let ask = seat::Ask { tasks: 2, room: room(6), wants_one_rack: true, ..seat::Ask::default() };
-    let offers: Vec<evict::Offer<'_>> =
+    let releases: Vec<evict::Release<'_>> =
         victims.iter().map(|victim| victim.at_cost(victim.cost)).collect();
-    let all = evict::choose(&places, &offers, &ask, seat::Reach::Near).expect("three racks");
-    let alone = (0..3).map(|rack: usize| {
+    let all = evict::choose(&places, &releases, &ask, seat::Reach::Near).expect("three racks");
+    let separately = (0..3).map(|rack: usize| {
         let is_here = |at: usize| at / 2 == rack;
-        let offers: Vec<evict::Offer<'_>> = (victims.iter())
+        let releases: Vec<evict::Release<'_>> = (victims.iter())
             .filter(|victim| is_here(victim.seats[0].0))
             .map(|victim| victim.at_cost(victim.cost))
             .collect();
-        evict::choose(&places, &offers, &ask, seat::Reach::Near).expect("one rack").cost
+        evict::choose(&places, &releases, &ask, seat::Reach::Near).expect("one rack").cost
     });
-    let least = alone.fold(f64::MAX, f64::min);
-    assert_eq!(all.cost.to_bits(), least.to_bits());
+    let lowest = separately.fold(f64::MAX, f64::min);
+    assert_eq!(all.cost.to_bits(), lowest.to_bits());
     assert_eq!(all.victims.len(), 6);
 }
 
-/// Guards against a member of a gang that goes elsewhere than where an earlier start of it may
-/// still be carried out.
+/// Guards against assigning a task of a gang to another worker than the one that may still carry out
+/// an earlier start of the task.
 #[test]
-fn tasks_that_may_go_to_one_worker_only_go_there() {
+fn tasks_that_are_bound_to_a_worker_are_assigned_there() {
     let places = [place("w1", "r1", 8, 8), place("w2", "r1", 8, 8), place("w3", "r2", 8, 4)];
     let bound = |pairs: &[(u32, &str)]| seat::Ask {
         tasks: 3,
@@ -513,8 +525,8 @@
     };
     let seat = |ask: &seat::Ask, reach| {
         let seats = seat::seat(&places, ask, reach)?;
-        let named = |seat: &seat::Seat| (places[seat.place].worker.to_string(), seat.tasks);
-        Some(seats.iter().map(named).collect::<Vec<_>>())
+        let by_name = |seat: &seat::Seat| (places[seat.place].worker.to_string(), seat.tasks);
+        Some(seats.iter().map(by_name).collect::<Vec<_>>())
     };
     let one = bound(&[(2, "w3")]);
     insta::assert_snapshot!(
@@ -522,12 +534,16 @@
         @r#"Some([("w3", 1), ("w1", 2)])"#
     );
     let two = bound(&[(0, "w2"), (1, "w1")]);
-    let seats = seat(&two, seat::Reach::Far).expect("there is room");
+    let seats = seat(&two, seat::Reach::Far).expect("the group fits");
     assert!(
         seats.iter().any(|(name, _)| name == "w1") && seats.iter().any(|(name, _)| name == "w2")
     );
-    assert_eq!(seat(&bound(&[(0, "w3"), (1, "w3")]), seat::Reach::Far), None, "one has room there");
-    assert_eq!(seat(&bound(&[(0, "w9")]), seat::Reach::Far), None, "it is not there");
+    assert_eq!(
+        seat(&bound(&[(0, "w3"), (1, "w3")]), seat::Reach::Far),
+        None,
+        "only one task fits there"
+    );
+    assert_eq!(seat(&bound(&[(0, "w9")]), seat::Reach::Far), None, "there is no such worker");
     let in_one_rack = seat::Ask { wants_one_rack: true, ..one };
-    assert_eq!(seat(&in_one_rack, seat::Reach::Near), None, "its rack has room for one");
+    assert_eq!(seat(&in_one_rack, seat::Reach::Near), None, "only one task fits in its rack");
 }
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -1,10 +1,10 @@
-//! Placement and binding of whole gangs.
+//! Tests of the placement of gangs and of the binding of guarantees.
 
 use sapphire_plan::{bind, fleet, place};
 use sapphire_rules::file;
 use sapphire_wire::{Adjacency, Shape, resource};
 
-/// Workers of 8 accelerators, three to a rack, all open and in one zone.
+/// Workers of 8 accelerators, three to a rack, all in one zone and free to be given work.
 fn workers(count: usize) -> fleet::Fleet {
     let mut fleet = fleet::Fleet::default();
     for index in 0..count {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_gang_is_placed_whole_or_not_at_all() {
+fn a_gang_is_placed_completely_or_not_at_all() {
     let fleet = workers(4);
     let fits = shape(8, 3, Adjacency::Rack);
     let outcome = place::place(&fleet, &place::Options::borrowing("o", &fits));
@@ -38,30 +38,30 @@
 }
 
 #[test]
-fn a_small_job_goes_where_little_room_is_left() {
+fn a_small_job_is_placed_on_the_worker_with_the_least_left_free() {
     let mut fleet = workers(2);
     fleet.take("w1", "o", &shape(6, 1, Adjacency::Worker), 1, false);
     let small = shape(2, 1, Adjacency::Worker);
     let outcome = place::place(&fleet, &place::Options::borrowing("o", &small));
-    assert_eq!(outcome.expect("there is room").group, "w1");
+    assert_eq!(outcome.expect("it fits").group, "w1");
 }
 
 #[test]
-fn a_borrower_spares_what_is_bound_to_others() {
+fn a_borrower_avoids_accelerators_bound_to_others() {
     let mut fleet = workers(2);
     let bound = fleet.workers.get_mut("w0").expect("made above");
     bound.bound.insert("other".into(), 8);
     let gang = shape(8, 1, Adjacency::Worker);
     let outcome = place::place(&fleet, &place::Options::borrowing("o", &gang));
-    assert_eq!(outcome.expect("there is room").group, "w1");
+    assert_eq!(outcome.expect("it fits").group, "w1");
 }
 
 #[test]
-fn guarantees_are_bound_and_what_is_short_is_named() {
+fn guarantees_are_bound_and_shortfalls_are_reported() {
     let text = "organisation a # x\norganisation b # x\n\
                 guarantee a accelerators=8 tasks=2 adjacency=rack count=2 zone=norte-a # x\n\
                 guarantee b accelerators=8 tasks=3 adjacency=rack zone=norte-a # x\n";
-    let rules = file::File::parse(text).expect("the rules are good");
+    let rules = file::File::parse(text).expect("the rules are valid");
     let fleet = workers(6);
     let guarantees: Vec<_> = rules.guarantees().collect();
     let options = bind::Options { guarantees, fleet: &fleet, previous: &[] };
@@ -69,10 +69,10 @@
 }
 
 #[test]
-fn a_lost_worker_moves_only_its_own_binding() {
+fn the_loss_of_a_worker_moves_only_its_own_binding() {
     let text = "organisation a # x\n\
                 guarantee a accelerators=8 tasks=1 adjacency=worker count=3 zone=norte-a # x\n";
-    let rules = file::File::parse(text).expect("the rules are good");
+    let rules = file::File::parse(text).expect("the rules are valid");
     let mut fleet = workers(6);
     let bind = |fleet: &fleet::Fleet, previous: &[sapphire_wire::Binding]| {
         let guarantees = rules.guarantees().collect();
--- a/crates/trace/src/baseline.rs
+++ b/crates/trace/src/baseline.rs
@@ -38,7 +38,7 @@
                 group: group.to_owned(),
                 runner_up: String::new(),
                 broken: 0,
-                whole: 0,
+                intact: 0,
             });
         }
     }
