--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -4,7 +4,7 @@
 
 use prost::Message as _;
 use sapphire_jobs::{
-    Job, Progress, Schedule, State, Step, catalog::Queue, length, room::Room, task::JobId,
+    Job, Progress, Schedule, State, Step, catalog::Queue, length, resources::Resources, task::JobId,
 };
 use sapphire_plan::admit;
 use sapphire_planner::keys;
@@ -316,7 +316,7 @@
 fn admission(job: &Job) -> admit::Job {
     let chain = length::chain(&job.steps, length::declared);
     admit::Job {
-        rooms: job.steps.iter().map(|step| Room::read(step.room.as_ref())).collect(),
+        rooms: job.steps.iter().map(|step| Resources::read(step.room.as_ref())).collect(),
         priority: job.priority,
         objective: length::objective(job, chain),
     }
--- a/crates/front/src/view.rs
+++ b/crates/front/src/view.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use sapphire_jobs::{
-    self as jobs, Feed, Job, Notice, State, catalog::Queue, room::Room, task::JobId,
+    self as jobs, Feed, Job, Notice, State, catalog::Queue, resources::Resources, task::JobId,
 };
 use sapphire_plan::admit;
 
@@ -87,7 +87,7 @@
         let ahead = supply.backlogs.iter().filter(|backlog| backlog.priority <= queue.priority);
         let drain_ms = ahead.map(|backlog| backlog.drain_ms).max().unwrap_or(0);
         let drain = Duration::from_millis(drain_ms);
-        Some(admit::Supply { largest: Room::read(supply.largest.as_ref()), drain })
+        Some(admit::Supply { largest: Resources::read(supply.largest.as_ref()), drain })
     }
 
     /// State of a job, if it is known.
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -10,7 +10,9 @@
     event::{Event, Operation},
     reach::Way,
 };
-use sapphire_jobs::{Backlog, Feed, Lead, Row, Schedule, State, Step, Supply, room::Room};
+use sapphire_jobs::{
+    Backlog, Feed, Lead, Row, Schedule, State, Step, Supply, resources::Resources,
+};
 use sapphire_store::call::{Item, Reply, Value};
 
 use crate::harness::{Bench, is_refused, ms, submit};
@@ -256,7 +258,7 @@
 }
 
 fn supply(drain_ms: u64) -> Option<Box<Feed>> {
-    let largest = Room { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
+    let largest = Resources { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let supply = Supply {
         service: "s".to_owned(),
         largest: Some(largest.message()),
@@ -267,7 +269,7 @@
 }
 
 fn submit_step(accelerators: u64, estimate_ms: u64) -> Action {
-    let room = Room { millicores: 1_000, memory_mib: 1_000, accelerators };
+    let room = Resources { millicores: 1_000, memory_mib: 1_000, accelerators };
     let step = Step { tasks: 1, room: Some(room.message()), estimate_ms, ..Step::default() };
     Action::Submit(Ok(Handin { spec: String::new(), steps: vec![step], schedule: None }))
 }
--- a/crates/jobs/src/length.rs
+++ b/crates/jobs/src/length.rs
@@ -4,7 +4,7 @@
 
 use sapphire_schema::jobs::{Job, Step};
 
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// Duration of the critical path: the longest chain of steps that depend on one another, given
 /// the duration of each step.
@@ -33,8 +33,8 @@
 /// Work of all tasks of a job in processor seconds, by the declared run times.
 pub fn work(steps: &[Step]) -> f64 {
     let step_work = |step: &Step| {
-        let room = Room::read(step.room.as_ref());
-        room.weight() * f64::from(step.tasks) * declared(step).as_secs_f64()
+        let resources = Resources::read(step.room.as_ref());
+        resources.weight() * f64::from(step.tasks) * declared(step).as_secs_f64()
     };
     steps.iter().map(step_work).sum()
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod catalog;
 pub mod length;
-pub mod room;
+pub mod resources;
 pub mod task;
 
 pub use sapphire_schema::jobs::{
--- a/crates/jobs/src/room.rs
+++ b/crates/jobs/src/resources.rs
@@ -4,7 +4,7 @@
 
 /// Amounts of all resources that are scheduled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     /// Processors, in thousandths of a core.
     pub millicores: u64,
     /// Memory in MiB.
@@ -13,13 +13,13 @@
     pub accelerators: u64,
 }
 
-impl Room {
+impl Resources {
     /// Converts from the wire message. An absent message means no resources.
     pub fn read(message: Option<&jobs::Room>) -> Self {
-        message.map_or_else(Room::default, |room| Room {
-            millicores: room.millicores.into(),
-            memory_mib: room.memory_mib,
-            accelerators: room.accelerators.into(),
+        message.map_or_else(Resources::default, |resources| Resources {
+            millicores: resources.millicores.into(),
+            memory_mib: resources.memory_mib,
+            accelerators: resources.accelerators.into(),
         })
     }
 
@@ -34,8 +34,8 @@
 
     /// Sum of both amounts.
     #[must_use]
-    pub fn plus(self, other: Room) -> Room {
-        Room {
+    pub fn plus(self, other: Resources) -> Resources {
+        Resources {
             millicores: self.millicores.saturating_add(other.millicores),
             memory_mib: self.memory_mib.saturating_add(other.memory_mib),
             accelerators: self.accelerators.saturating_add(other.accelerators),
@@ -44,8 +44,8 @@
 
     /// Difference of both amounts; zero for a resource of which `other` has more.
     #[must_use]
-    pub fn minus(self, other: Room) -> Room {
-        Room {
+    pub fn minus(self, other: Resources) -> Resources {
+        Resources {
             millicores: self.millicores.saturating_sub(other.millicores),
             memory_mib: self.memory_mib.saturating_sub(other.memory_mib),
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -54,8 +54,8 @@
 
     /// Larger of both amounts, for each resource.
     #[must_use]
-    pub fn most(self, other: Room) -> Room {
-        Room {
+    pub fn component_max(self, other: Resources) -> Resources {
+        Resources {
             millicores: self.millicores.max(other.millicores),
             memory_mib: self.memory_mib.max(other.memory_mib),
             accelerators: self.accelerators.max(other.accelerators),
@@ -64,8 +64,8 @@
 
     /// The amounts multiplied by `count`.
     #[must_use]
-    pub fn times(self, count: u64) -> Room {
-        Room {
+    pub fn times(self, count: u64) -> Resources {
+        Resources {
             millicores: self.millicores.saturating_mul(count),
             memory_mib: self.memory_mib.saturating_mul(count),
             accelerators: self.accelerators.saturating_mul(count),
@@ -74,14 +74,14 @@
 
     /// Number of tasks that need `task` each and fit into these resources together. A resource
     /// that the task does not need sets no limit.
-    pub fn holds(self, task: Room) -> u32 {
-        let parts = [
+    pub fn count_fitting(self, task: Resources) -> u32 {
+        let counts = [
             self.millicores.checked_div(task.millicores),
             self.memory_mib.checked_div(task.memory_mib),
             self.accelerators.checked_div(task.accelerators),
         ];
-        let least = parts.into_iter().flatten().min().unwrap_or(u64::from(u32::MAX));
-        u32::try_from(least).unwrap_or(u32::MAX)
+        let lowest = counts.into_iter().flatten().min().unwrap_or(u64::from(u32::MAX));
+        u32::try_from(lowest).unwrap_or(u32::MAX)
     }
 
     /// All resources as one number of processors. An accelerator counts as eight processors, which
--- a/crates/plan/src/evict.rs
+++ b/crates/plan/src/evict.rs
@@ -6,7 +6,7 @@
 
 use std::rc::Rc;
 
-use sapphire_jobs::room::Room;
+use sapphire_jobs::resources::Resources;
 
 use crate::seat::{self, Ask, Place, Reach, Seat};
 
@@ -16,7 +16,7 @@
     /// Cost of the stop in processor seconds.
     pub cost: f64,
     /// Resources that its end releases, each with the index of the place.
-    pub seats: Vec<(usize, Room)>,
+    pub seats: Vec<(usize, Resources)>,
 }
 
 impl Victim {
@@ -32,7 +32,7 @@
     /// Cost of the release, such as processor seconds that a stop loses.
     pub cost: f64,
     /// Released resources, each with the index of the place.
-    pub seats: &'a [(usize, Room)],
+    pub seats: &'a [(usize, Resources)],
 }
 
 /// Result of a search: what to stop, and where the urgent group goes once that has ended.
@@ -114,7 +114,7 @@
     /// The places, with the resources that are free in the current step of the search.
     places: Vec<Place>,
     /// Free resources of each place before any release.
-    base: Vec<Room>,
+    base: Vec<Resources>,
     /// Index of each place among all places.
     origin: &'a [usize],
     /// Position in `places` by index among all places; none for places that are left out.
@@ -159,7 +159,7 @@
         for seat in &seats {
             is_assigned[seat.place] = true;
         }
-        let is_used = |(at, _): &(usize, Room)| {
+        let is_used = |(at, _): &(usize, Resources)| {
             self.position[*at].is_some_and(|position| is_assigned[position as usize])
         };
         let is_useful = |index: &usize| self.releases[*index].seats.iter().any(is_used);
@@ -187,10 +187,10 @@
             place.free = *free;
         }
         for index in included {
-            for (at, room) in self.releases[*index].seats {
+            for (at, resources) in self.releases[*index].seats {
                 if let Some(position) = self.position[*at] {
                     let place = &mut self.places[position as usize];
-                    place.free = place.free.plus(*room);
+                    place.free = place.free.plus(*resources);
                 }
             }
         }
--- a/crates/plan/src/reserve.rs
+++ b/crates/plan/src/reserve.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use sapphire_jobs::room::Room;
+use sapphire_jobs::resources::Resources;
 
 use crate::{
     evict,
@@ -24,7 +24,7 @@
     /// Expected remaining run time.
     pub remaining: Duration,
     /// Resources that the end of the group releases, each with the index of the place.
-    pub seats: &'a [(usize, Room)],
+    pub seats: &'a [(usize, Resources)],
 }
 
 /// Resources that are reserved for one waiting group.
@@ -33,7 +33,7 @@
     /// Expected time until all reserved resources are free.
     wait: Duration,
     /// Reserved resources that are free already, by index of the place.
-    reserved: BTreeMap<usize, Room>,
+    reserved: BTreeMap<usize, Resources>,
 }
 
 impl Reservation {
@@ -76,8 +76,8 @@
     /// Adds the reserved resources to the free resources of the places, for work that
     /// [`Self::is_open`] allows.
     pub fn open(&self, places: &mut [Place]) {
-        for (at, room) in &self.reserved {
-            places[*at].free = places[*at].free.plus(*room);
+        for (at, resources) in &self.reserved {
+            places[*at].free = places[*at].free.plus(*resources);
         }
     }
 
@@ -86,10 +86,10 @@
     ///
     /// Guards against overcommitting a worker: reserved resources that short work uses must not be
     /// given to the next.
-    pub fn give(&mut self, at: usize, room: Room) -> Room {
-        let Some(reserved) = self.reserved.get_mut(&at) else { return room };
-        let uncovered = room.minus(*reserved);
-        *reserved = reserved.minus(room);
+    pub fn give(&mut self, at: usize, resources: Resources) -> Resources {
+        let Some(reserved) = self.reserved.get_mut(&at) else { return resources };
+        let uncovered = resources.minus(*reserved);
+        *reserved = reserved.minus(resources);
         uncovered
     }
 }
--- a/crates/plan/src/seat.rs
+++ b/crates/plan/src/seat.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, rc::Rc};
 
-use sapphire_jobs::room::Room;
+use sapphire_jobs::resources::Resources;
 
 /// A worker that tasks may be assigned to. It is cheap to clone, since a search for groups to stop
 /// works on many copies of all places.
@@ -19,11 +19,11 @@
     /// Labels that steps may require of a worker.
     pub labels: Rc<[String]>,
     /// Free resources.
-    pub free: Room,
+    pub free: Resources,
     /// Resources that are not free yet, but are promised to groups that wait for their release.
-    pub owed: Room,
+    pub owed: Resources,
     /// Total resources.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// How far the worker is to be avoided; 0 for a healthy worker.
     pub doubt: u32,
 }
@@ -34,7 +34,7 @@
     /// Number of tasks, all of which must be assigned.
     pub tasks: u32,
     /// Resources that each task needs.
-    pub room: Room,
+    pub room: Resources,
     /// Label that a worker must have; empty if any worker will do.
     pub label: String,
     /// Rack that is near the group's data; empty if any rack will do.
@@ -97,7 +97,7 @@
 /// A place as a candidate for a group; none if it can't hold any of its tasks.
 fn candidate<'a>(index: usize, place: &'a Place, ask: &Ask) -> Option<Candidate<'a>> {
     let has_label = ask.label.is_empty() || place.labels.contains(&ask.label);
-    let mut tasks = place.free.holds(ask.room);
+    let mut tasks = place.free.count_fitting(ask.room);
     if ask.per_worker > 0 {
         let present = ask.present.get(&*place.worker).copied().unwrap_or(0);
         tasks = tasks.min(ask.per_worker.saturating_sub(present));
@@ -201,7 +201,7 @@
     let mut unreserved = places.to_vec();
     for place in unreserved.iter_mut().filter(|place| is_idle(place)) {
         if idle <= keep {
-            place.free = Room::default();
+            place.free = Resources::default();
         } else {
             idle -= 1;
         }
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -8,7 +8,7 @@
     prelude::{ProptestConfig, Strategy, any, prop_assert, prop_assert_eq, proptest},
     test_runner::RngSeed,
 };
-use sapphire_jobs::room::Room;
+use sapphire_jobs::resources::Resources;
 use sapphire_plan::{
     admit, clear, estimate, evict, fleet, health, pace, pass, reclaim, reserve, seat, wait, waves,
 };
@@ -247,8 +247,8 @@
 /// to retry after, and urgent jobs are always accepted.
 #[test]
 fn jobs_that_would_complete_too_late_are_rejected_in_a_long_overload() {
-    let room = Room { millicores: 5_600, memory_mib: 23_000, accelerators: 1 };
-    let largest = Room { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
+    let room = Resources { millicores: 5_600, memory_mib: 23_000, accelerators: 1 };
+    let largest = Resources { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let objective = Duration::from_secs(33);
     let batch = admit::Job { rooms: vec![room], priority: 2, objective };
     let urgent = admit::Job { priority: 0, ..batch.clone() };
@@ -276,10 +276,10 @@
 /// is known of the workers, as after a restart of all processes, nothing is rejected.
 #[test]
 fn a_job_that_fits_no_worker_is_rejected() {
-    let largest = Room { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
+    let largest = Resources { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let supply = admit::Supply { largest, drain: Duration::ZERO };
     let job = |accelerators| admit::Job {
-        rooms: vec![Room { millicores: 1_000, memory_mib: 1_000, accelerators }],
+        rooms: vec![Resources { millicores: 1_000, memory_mib: 1_000, accelerators }],
         priority: 0,
         objective: Duration::from_secs(10),
     };
@@ -413,7 +413,7 @@
 /// urgent task with enough slack waits for the first; one without slack stops the cheaper one.
 #[test]
 fn an_urgent_group_waits_or_stops_work_whichever_costs_less() {
-    let room = Room { accelerators: 8, ..Room::default() };
+    let room = Resources { accelerators: 8, ..Resources::default() };
     let place =
         |name: &str| seat::Place { worker: name.into(), capacity: room, ..Default::default() };
     let places = [place("w1"), place("w2")];
@@ -445,12 +445,12 @@
 }
 
 fn place(worker: &str, rack: &str, capacity: u64, free: u64) -> seat::Place {
-    let room = |accelerators| Room { millicores: 1_000, memory_mib: 1_000, accelerators };
+    let room = |accelerators| Resources { millicores: 1_000, memory_mib: 1_000, accelerators };
     seat::Place {
         worker: worker.into(),
         rack: rack.into(),
         capacity: room(capacity),
-        free: if free == 0 { Room::default() } else { room(free) },
+        free: if free == 0 { Resources::default() } else { room(free) },
         ..seat::Place::default()
     }
 }
@@ -459,7 +459,7 @@
 /// use, and resources that are released elsewhere meanwhile would go to other groups.
 #[test]
 fn each_group_has_a_reservation_of_its_own() {
-    let whole = Room { millicores: 1_000, memory_mib: 1_000, accelerators: 8 };
+    let whole = Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 8 };
     let mut places = vec![place("w1", "r1", 8, 0), place("w2", "r1", 8, 0)];
     let seats = [[(0, whole)], [(1, whole)]];
     let running: Vec<reserve::Running<'_>> = [3, 6]
@@ -480,7 +480,7 @@
 /// others.
 #[test]
 fn each_rack_is_searched_independently_of_the_others() {
-    let room = |accelerators| Room { millicores: 0, memory_mib: 0, accelerators };
+    let room = |accelerators| Resources { millicores: 0, memory_mib: 0, accelerators };
     let places: Vec<seat::Place> = (0..6)
         .map(|at| seat::Place {
             worker: format!("w{at}").into(),
@@ -519,7 +519,7 @@
     let places = [place("w1", "r1", 8, 8), place("w2", "r1", 8, 8), place("w3", "r2", 8, 4)];
     let bound = |pairs: &[(u32, &str)]| seat::Ask {
         tasks: 3,
-        room: Room { accelerators: 4, ..Room::default() },
+        room: Resources { accelerators: 4, ..Resources::default() },
         bound: pairs.iter().map(|(task, worker)| (*task, (*worker).to_owned())).collect(),
         ..seat::Ask::default()
     };
--- a/crates/planner/src/accept.rs
+++ b/crates/planner/src/accept.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use sapphire_jobs::{Job, State, Step, room::Room};
+use sapphire_jobs::{Job, State, Step, resources::Resources};
 
 use crate::{event::Moment, planner::Planner, table::Entry, worker::Cause};
 
@@ -77,7 +77,7 @@
 
 /// A step in one word: tasks, room of each, declared time and what it asks for.
 fn describe(step: &Step) -> String {
-    let room = Room::read(step.room.as_ref());
+    let room = Resources::read(step.room.as_ref());
     let mut text = format!(
         "{}x{}m/{}MiB/{}a/{}ms",
         step.tasks, room.millicores, room.memory_mib, room.accelerators, step.estimate_ms
--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/board.rs
@@ -7,7 +7,7 @@
 
 use sapphire_jobs::{
     Step,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
@@ -58,7 +58,7 @@
     }
 
     /// Takes room on a worker, of what is free there and else of what is kept there.
-    pub(crate) fn take_room(&mut self, at: usize, room: Room) {
+    pub(crate) fn take_room(&mut self, at: usize, room: Resources) {
         let place = &mut self.places[at];
         let mut of_kept = room.minus(place.free);
         place.free = place.free.minus(room);
@@ -111,7 +111,7 @@
                 rack: minion.rack.as_str().into(),
                 labels: minion.labels.as_slice().into(),
                 free: worker.capacity().minus(worker.used()),
-                owed: Room::default(),
+                owed: Resources::default(),
                 capacity: worker.capacity(),
                 doubt,
             });
@@ -169,7 +169,7 @@
                 if step.is_long_running {
                     continue;
                 }
-                let room = Room::read(step.room.as_ref());
+                let room = Resources::read(step.room.as_ref());
                 let seats = active.left.values().filter_map(|name| Some((*index.get(name)?, room)));
                 let remaining = self.remaining_run(now, entry, key, active);
                 let end = Self::age(entry, now).saturating_add(remaining);
@@ -196,7 +196,7 @@
             return 0.0;
         }
         let ran = now.steady.saturating_sub(active.began.unwrap_or(active.since));
-        let cores = Room::read(step.room.as_ref()).weight() * active.left.len() as f64;
+        let cores = Resources::read(step.room.as_ref()).weight() * active.left.len() as f64;
         clear::loss(cores, ran, step.checkpoints)
     }
 
--- a/crates/planner/src/ledger.rs
+++ b/crates/planner/src/ledger.rs
@@ -4,7 +4,7 @@
 
 use sapphire_jobs::{
     Ending, LISTED_ENDS, Poll, Rejection,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, Task},
 };
 
@@ -188,15 +188,15 @@
         }
     }
 
-    fn adoption(&mut self, now: Moment, name: &str, task: &Task, number: u32) -> (Room, bool) {
-        let Some(entry) = self.table.entries.get_mut(&task.job) else {
-            return (Room::default(), false);
+    fn adoption(&mut self, now: Moment, name: &str, task: &Task, number: u32) -> (Resources, bool) {
+        let Some(job) = self.table.entries.get_mut(&task.job) else {
+            return (Resources::default(), false);
         };
-        let Some(step) = entry.step(task.step).cloned() else { return (Room::default(), false) };
-        let room = Room::read(step.room.as_ref());
-        let is_over = entry.is_over();
+        let Some(step) = job.step(task.step).cloned() else { return (Resources::default(), false) };
+        let room = Resources::read(step.room.as_ref());
+        let is_over = job.is_over();
         let key = GroupKey::of(task, step.is_gang);
-        let Some(group) = entry.groups.get_mut(&key) else { return (room, false) };
+        let Some(group) = job.groups.get_mut(&key) else { return (room, false) };
         if is_over || group.is_final() || number < group.run || number <= group.ended_run {
             return (room, false);
         }
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -9,7 +9,7 @@
 };
 
 use sapphire_jobs::{
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
@@ -150,7 +150,7 @@
         let group = entry.groups.get(key)?;
         Some(Ask {
             tasks: if step.is_gang { step.tasks } else { 1 },
-            room: Room::read(step.room.as_ref()),
+            room: Resources::read(step.room.as_ref()),
             label: step.label.clone(),
             near_rack: step.near_rack.clone(),
             wants_one_rack: step.is_gang && step.wants_one_rack,
@@ -325,7 +325,7 @@
             others().map(|place| Place { free: place.capacity, ..place }).collect();
         seat::seat(&empty, ask, Reach::Far)?;
         let close = |place: &Place| {
-            let free = if is_avoided(place) { Room::default() } else { place.free };
+            let free = if is_avoided(place) { Resources::default() } else { place.free };
             Place { free, ..place.clone() }
         };
         Some(board.places.iter().map(close).collect())
--- a/crates/planner/src/supply.rs
+++ b/crates/planner/src/supply.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use sapphire_jobs::{Backlog, Step, Supply, room::Room};
+use sapphire_jobs::{Backlog, Step, Supply, resources::Resources};
 
 use crate::{event::Moment, group::Phase, planner::Planner, table::Entry, worker::Worker};
 
@@ -23,7 +23,7 @@
 }
 
 impl Amount {
-    fn of(room: Room, times: f64) -> Self {
+    fn of(room: Resources, times: f64) -> Self {
         Amount {
             millicores: room.millicores as f64 * times,
             memory_mib: room.memory_mib as f64 * times,
@@ -49,7 +49,7 @@
 /// Sums for one service.
 #[derive(Default)]
 struct Sums {
-    largest: Room,
+    largest: Resources,
     /// Room of all workers.
     capacity: Amount,
     /// Room of tasks that last.
@@ -72,7 +72,7 @@
             let Some(minion) = &worker.incarnation else { continue };
             let sum = sums.entry(&minion.service).or_default();
             let room = worker.capacity();
-            sum.largest = sum.largest.most(room);
+            sum.largest = sum.largest.component_max(room);
             if !minion.is_draining {
                 sum.capacity.add(Amount::of(room, 1.0));
             }
@@ -104,10 +104,10 @@
         let workers = self.workers.values().filter(|worker| {
             worker.incarnation.as_ref().is_some_and(|minion| minion.service == service)
         });
-        let rooms: Vec<Room> = workers.map(Worker::capacity).collect();
+        let rooms: Vec<Resources> = workers.map(Worker::capacity).collect();
         let fits = |step: &Step| {
-            let room = Room::read(step.room.as_ref());
-            rooms.iter().map(|worker| u64::from(worker.holds(room))).sum()
+            let room = Resources::read(step.room.as_ref());
+            rooms.iter().map(|worker| u64::from(worker.count_fitting(room))).sum()
         };
         let fits = entry.job.steps.iter().map(fits).collect();
         if let Some(entry) = self.table.entries.get_mut(id) {
@@ -121,7 +121,7 @@
         for (key, group) in &entry.groups {
             let Some(step) = entry.step(key.step) else { continue };
             let tasks = f64::from(if step.is_gang { step.tasks } else { 1 });
-            let room = Room::read(step.room.as_ref());
+            let room = Resources::read(step.room.as_ref());
             let time = self.expect(entry, key.step).as_secs_f64();
             match group.phase {
                 Phase::Done | Phase::Failed => {}
@@ -137,7 +137,7 @@
 impl Sums {
     fn supply(self, service: &str) -> Option<Supply> {
         let left = 1.0 - self.lasting.share(&self.capacity);
-        if self.largest == Room::default() || left <= 0.0 {
+        if self.largest == Resources::default() || left <= 0.0 {
             return None;
         }
         let mut sum = Amount::default();
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -7,7 +7,7 @@
 
 use sapphire_jobs::{
     Progress, State, Step, Tally, length,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task},
 };
 use sapphire_plan::{
@@ -237,7 +237,8 @@
     /// Accelerators that its first steps take at once.
     pub fn accelerators(&self) -> u64 {
         let first = self.job.steps.iter().filter(|step| step.after.is_empty());
-        let of = |step: &Step| Room::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
+        let of =
+            |step: &Step| Resources::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
         first.map(of).sum()
     }
 
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -4,7 +4,7 @@
 
 use sapphire_jobs::{
     Incarnation, Orders, Rejection, Running,
-    room::Room,
+    resources::Resources,
     task::{JobId, RunNumber, Task},
 };
 
@@ -71,7 +71,7 @@
     /// Its number.
     pub number: RunNumber,
     /// What it takes.
-    pub room: Room,
+    pub room: Resources,
     /// How far it has come.
     pub phase: Phase,
     /// Why it is stopped, and since when, once it is.
@@ -155,17 +155,17 @@
 
 impl Worker {
     /// What it has.
-    pub fn capacity(&self) -> Room {
+    pub fn capacity(&self) -> Resources {
         let room = self.incarnation.as_ref().and_then(|incarnation| incarnation.capacity.as_ref());
-        Room::read(room)
+        Resources::read(room)
     }
 
     /// What runs, is ordered or is being stopped takes together.
     ///
     /// Guards against overfilling a minion that does not refuse what doesn't fit: a task that is
     /// being stopped, or whose start has not been answered, takes its room all the same.
-    pub fn used(&self) -> Room {
-        self.runs.values().fold(Room::default(), |sum, run| sum.plus(run.room))
+    pub fn used(&self) -> Resources {
+        self.runs.values().fold(Resources::default(), |sum, run| sum.plus(run.room))
     }
 
     /// Whether it may be given tasks.
@@ -236,7 +236,13 @@
 
 impl Run {
     /// A run of which is known how far it has come, and no more.
-    pub fn new(number: RunNumber, room: Room, phase: Phase, percent: u32, now: Duration) -> Self {
+    pub fn new(
+        number: RunNumber,
+        room: Resources,
+        phase: Phase,
+        percent: u32,
+        now: Duration,
+    ) -> Self {
         Run {
             number,
             room,
--- a/crates/planner/tests/harness/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -7,7 +7,7 @@
 use sapphire_jobs::{
     Ended, Ending, Feed, Fleet, Incarnation, Job, Member, Orders, Poll, Run, Running, Step,
     catalog::{Catalog, Parts, Queue},
-    room::Room,
+    resources::Resources,
 };
 use sapphire_plan::policy;
 use sapphire_planner::{
@@ -26,8 +26,8 @@
     Duration::from_millis(time)
 }
 
-pub(crate) fn room(accelerators: u64) -> Room {
-    Room { millicores: 1_000, memory_mib: 1_000, accelerators }
+pub(crate) fn room(accelerators: u64) -> Resources {
+    Resources { millicores: 1_000, memory_mib: 1_000, accelerators }
 }
 
 pub(crate) fn job(id: &str, term: u64, step: Step) -> Job {
--- a/crates/proofs/src/jobs/baseline.rs
+++ b/crates/proofs/src/jobs/baseline.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sapphire_jobs::{State, length, room::Room};
+use sapphire_jobs::{State, length, resources::Resources};
 
 use super::{
     figures::{self, Figures},
@@ -37,7 +37,7 @@
 
 struct Fleet<'a> {
     arrivals: &'a [Arrival],
-    free: Vec<Room>,
+    free: Vec<Resources>,
     running: Vec<Running>,
     waiting: Vec<Group>,
     left: Vec<u32>,
@@ -129,10 +129,10 @@
 }
 
 /// The first workers that hold a group's tasks.
-fn seats(free: &[Room], room: Room, tasks: u32) -> Option<Vec<usize>> {
+fn seats(free: &[Resources], room: Resources, tasks: u32) -> Option<Vec<usize>> {
     let mut seats = Vec::new();
     for (index, free) in free.iter().enumerate() {
-        let most = free.holds(room).min(tasks - seats.len() as u32);
+        let most = free.count_fitting(room).min(tasks - seats.len() as u32);
         seats.extend((0..most).map(|_| index));
         if seats.len() as u32 == tasks {
             return Some(seats);
--- a/crates/proofs/src/jobs/figures.rs
+++ b/crates/proofs/src/jobs/figures.rs
@@ -52,7 +52,7 @@
     let truth = &arrival.truth[0];
     let step = &arrival.job.steps[0];
     let workers: usize = site.workers.iter().sum();
-    let fits = u64::from(site.capacity.holds(truth.room)) * workers as u64;
+    let fits = u64::from(site.capacity.count_fitting(truth.room)) * workers as u64;
     let tasks = if step.is_gang { 1 } else { step.tasks };
     let waves = waves::allowed(waves::Width { tasks, fits });
     (truth.work * waves).mul_f64(kind.slack.0) + Duration::from_secs_f64(kind.slack.1)
--- a/crates/proofs/src/jobs/load.rs
+++ b/crates/proofs/src/jobs/load.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
-use sapphire_jobs::{Job, Step, room::Room};
+use sapphire_jobs::{Job, Step, resources::Resources};
 
 use super::minion::Truth;
 
@@ -24,7 +24,7 @@
     /// Mean run time in seconds, relative spread, most.
     pub work: (f64, f64, f64),
     /// What a task takes beside accelerators.
-    pub room: Room,
+    pub room: Resources,
     /// Accelerators of a task, drawn evenly.
     pub accelerators: &'static [u64],
     /// Share of steps that want one rack, among gangs.
@@ -55,7 +55,7 @@
     /// Workers a rack.
     pub rack: usize,
     /// What a worker has.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Kind that comes in bursts, how much, for how long.
     pub burst: (usize, f64, f64),
 }
@@ -124,7 +124,7 @@
     let accelerators = kind.accelerators[rng.random_range(0..kind.accelerators.len())];
     let work = Duration::from_secs_f64(spread(rng, kind.work.0, kind.work.1, kind.work.2));
     let is_gang = width > 1 && accelerators < 8 && kind.accelerators.len() > 1;
-    let room = Room { accelerators, ..kind.room };
+    let room = Resources { accelerators, ..kind.room };
     // One draw in either case, so that the same jobs come whatever their error is.
     let off = rng.random_range(-1.0..1.0_f64);
     let declared = match error {
--- a/crates/proofs/src/jobs/minion.rs
+++ b/crates/proofs/src/jobs/minion.rs
@@ -7,7 +7,7 @@
 
 use sapphire_jobs::{
     Ended, Ending, Incarnation, Rejection, Running,
-    room::Room,
+    resources::Resources,
     task::{RunNumber, Task},
 };
 use sapphire_runner::minion::{Call, Reply};
@@ -28,7 +28,7 @@
     /// It saves its progress.
     pub checkpoints: bool,
     /// What it takes.
-    pub room: Room,
+    pub room: Resources,
 }
 
 /// One task that runs.
@@ -192,9 +192,9 @@
         self.active
             .insert(task, Active { number: run.run, done, began: done, since, stop_at: None });
         let rooms = self.active.keys().filter_map(|task| truth.get(&(task.job.clone(), task.step)));
-        let used = rooms.fold(Room::default(), |sum, truth| sum.plus(truth.room));
-        let capacity = Room::read(self.incarnation.capacity.as_ref());
-        self.overfilled |= capacity.holds(used) == 0;
+        let used = rooms.fold(Resources::default(), |sum, truth| sum.plus(truth.room));
+        let capacity = Resources::read(self.incarnation.capacity.as_ref());
+        self.overfilled |= capacity.count_fitting(used) == 0;
         Reply::Done
     }
 
--- a/crates/proofs/src/jobs/sites.rs
+++ b/crates/proofs/src/jobs/sites.rs
@@ -1,11 +1,11 @@
 //! Deployments, fitted to the users' tables.
 
-use sapphire_jobs::room::Room;
+use sapphire_jobs::resources::Resources;
 
 use super::load::{Kind, Site};
 
-const fn room(millicores: u64, memory_mib: u64, accelerators: u64) -> Room {
-    Room { millicores, memory_mib, accelerators }
+const fn room(millicores: u64, memory_mib: u64, accelerators: u64) -> Resources {
+    Resources { millicores, memory_mib, accelerators }
 }
 
 /// Atlântica's desk of doctoral reviews.
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sapphire_jobs::{Ended, Incarnation, Lead, Orders, Poll, Run, Start, room::Room};
+use sapphire_jobs::{Ended, Incarnation, Lead, Orders, Poll, Run, Start, resources::Resources};
 use sapphire_runner::{
     effect::Effect,
     event::{Event, Ticket},
@@ -64,7 +64,7 @@
             id: "m".to_owned(),
             born_ms,
             service: "desk".to_owned(),
-            capacity: Some(Room { accelerators: 8, ..Room::default() }.message()),
+            capacity: Some(Resources { accelerators: 8, ..Resources::default() }.message()),
             is_draining,
             ..Incarnation::default()
         };
--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -9,7 +9,7 @@
 use rand::RngExt as _;
 use sapphire_jobs::{
     Ended, Ending,
-    room::Room,
+    resources::Resources,
     task::{RunNumber, Task},
 };
 use sapphire_net::{
@@ -372,7 +372,7 @@
             members,
             wants_one_rack: false,
             checkpoints: false,
-            room: Room { millicores: 1_000, memory_mib: 1_000, accelerators: 1 },
+            room: Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 1 },
         }
     }
 }
--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -4,7 +4,7 @@
 
 use base64::{Engine as _, prelude::BASE64_STANDARD};
 use bytes::Bytes;
-use sapphire_jobs::{Incarnation, Rejection, Start, room::Room, task::Task};
+use sapphire_jobs::{Incarnation, Rejection, Start, resources::Resources, task::Task};
 use sapphire_net::message::{Request, Response};
 use sapphire_proofs::{
     jobs::minion::{Minion, Truth},
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 
 /// What a minion of the stand-in has.
-pub const CAPACITY: Room = Room { millicores: 8_000, memory_mib: 8_000, accelerators: 4 };
+pub const CAPACITY: Resources = Resources { millicores: 8_000, memory_mib: 8_000, accelerators: 4 };
 
 fn text(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_owned()
