--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -47,7 +47,7 @@
             return;
         };
         let mut organisation = String::new();
-        if !queue.is_open {
+        if !queue.is_anonymous {
             // Guards against serving a key that was taken away while this entry was cut off: the
             // proof that the configuration is the newest runs out before the key has to.
             let most = self.options.revocation.saturating_sub(options::REVOCATION_MARGIN);
--- a/crates/jobs/src/catalog.rs
+++ b/crates/jobs/src/catalog.rs
@@ -43,7 +43,7 @@
     /// Fixed time that is added to that multiple.
     pub target_latency: Duration,
     /// Whether callers may submit jobs without an API key.
-    pub is_open: bool,
+    pub is_anonymous: bool,
 }
 
 /// A group of minions that run the tasks of the same queues.
@@ -52,7 +52,7 @@
     /// Name of the service.
     pub name: String,
     /// Whether the service's minions refuse tasks that exceed their free resources.
-    pub guards_room: bool,
+    pub enforces_capacity: bool,
     /// Whether the service's workers are on standby, that is, switched off.
     pub is_standby: bool,
     /// Path at which the service's minions report their health.
--- a/crates/proofs/src/jobs/world/settings.rs
+++ b/crates/proofs/src/jobs/world/settings.rs
@@ -48,7 +48,7 @@
         max_attempts: kind.attempts,
         slack: kind.slack.0,
         target_latency: Duration::from_secs_f64(kind.slack.1),
-        is_open: false,
+        is_anonymous: false,
     };
     let organisation = |index: u32| Organisation {
         name: format!("o{index}"),
