--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -314,7 +314,7 @@
 
 /// What decides whether a job is taken in.
 fn admission(job: &Job) -> admit::Job {
-    let chain = length::chain(&job.steps, length::declared);
+    let chain = length::critical_path(&job.steps, length::declared);
     admit::Job {
         rooms: job.steps.iter().map(|step| Resources::read(step.room.as_ref())).collect(),
         priority: job.priority,
--- a/crates/jobs/src/length.rs
+++ b/crates/jobs/src/length.rs
@@ -8,7 +8,7 @@
 
 /// Duration of the critical path: the longest chain of steps that depend on one another, given
 /// the duration of each step.
-pub fn chain(steps: &[Step], mut time: impl FnMut(&Step) -> Duration) -> Duration {
+pub fn critical_path(steps: &[Step], mut time: impl FnMut(&Step) -> Duration) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(steps.len());
     for step in steps {
         let predecessors = step.after.iter().filter_map(|index| ends.get(*index as usize));
@@ -25,9 +25,9 @@
 
 /// Time from a job's acceptance within which it is to complete, given the duration of its
 /// critical path.
-pub fn objective(job: &Job, chain: Duration) -> Duration {
+pub fn objective(job: &Job, critical_path: Duration) -> Duration {
     let slack = f64::from(job.slack_milli) / 1_000.0;
-    chain.mul_f64(slack) + Duration::from_millis(job.target_latency_ms)
+    critical_path.mul_f64(slack) + Duration::from_millis(job.target_latency_ms)
 }
 
 /// Work of all tasks of a job in processor seconds, by the declared run times.
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -246,7 +246,7 @@
     pub fn remaining(&self, expect: impl Fn(u32) -> Duration) -> Duration {
         let last = self.occurrences.saturating_sub(1);
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = Width { tasks: self.tasks_left(last, index), ..self.width(index) };
             index += 1;
             if width.tasks == 0 {
@@ -260,7 +260,7 @@
     /// The longest chain of its steps, with the waves that its caller allows for.
     pub fn chain(&self, expect: impl Fn(u32) -> Duration) -> Duration {
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = self.width(index);
             index += 1;
             expect(index - 1) * waves::allowed(width)
