--- a/crates/entry/src/candidates.rs
+++ b/crates/entry/src/candidates.rs
@@ -39,12 +39,14 @@
     let running = attempts.values().filter_map(|attempt| {
         let job = table.get(&attempt.job)?;
         let seats = attempt.seats.values().filter(|seat| seat.settled.is_none());
-        let seats = seats
-            .map(|seat| place::Seat { worker: seat.worker.clone(), tasks: seat.placement.tasks });
+        let seats = seats.map(|seat| place::Assignment {
+            worker: seat.worker.clone(),
+            tasks: seat.placement.tasks,
+        });
         Some(pass::Running {
             organisation: job.organisation.clone(),
             shape: job.shape.unwrap_or_default(),
-            seats: seats.collect(),
+            assignments: seats.collect(),
             is_guaranteed: attempt.is_guaranteed,
             remaining: Estimates::remaining(estimates.expect(job), ran(now, job)),
         })
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -107,7 +107,7 @@
         let number = job.attempts + 1;
         let id = format!("{}/{}.{}.{:x}", job.id, self.epoch.term, self.table.change(), number);
         let mut seats = BTreeMap::new();
-        for seat in &outcome.seats {
+        for seat in &outcome.assignments {
             let Some(agent) = around.registry.agent_of_worker(&seat.worker) else { return };
             let agent = agent.peer.clone();
             let name = agent.name.clone();
@@ -116,7 +116,8 @@
                 Placement { agent: Some(agent), tasks: seat.tasks, worker: worker.clone() };
             seats.insert(name, Seat { placement, worker, is_granted: false, settled: None });
         }
-        let workers: Vec<&str> = outcome.seats.iter().map(|seat| seat.worker.as_str()).collect();
+        let workers: Vec<&str> =
+            outcome.assignments.iter().map(|seat| seat.worker.as_str()).collect();
         out.log(
             PART,
             format!(
--- a/crates/plan/src/seat.rs
+++ b/crates/plan/src/assignment.rs
@@ -30,11 +30,11 @@
 
 /// Requirements of a group.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Demand {
     /// Number of tasks, all of which must be assigned.
     pub tasks: u32,
     /// Resources that each task needs.
-    pub room: Resources,
+    pub resources: Resources,
     /// Label that a worker must have; empty if any worker will do.
     pub label: String,
     /// Rack that is near the group's data; empty if any rack will do.
@@ -57,12 +57,12 @@
     /// Only workers on which it runs at full speed.
     Near,
     /// All workers, including those on which it is slower.
-    Far,
+    Remote,
 }
 
 /// Tasks of a group that are assigned to one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Assignment {
     /// Index of the place.
     pub place: usize,
     /// Number of tasks.
@@ -79,30 +79,30 @@
 }
 
 /// Assigns all tasks of a group, or none.
-pub fn seat(places: &[Place], ask: &Ask, reach: Reach) -> Option<Vec<Seat>> {
+pub fn assign(places: &[Place], demand: &Demand, reach: Reach) -> Option<Vec<Assignment>> {
     let candidates: Vec<Candidate<'_>> = (places.iter().enumerate())
-        .filter_map(|(index, place)| candidate(index, place, ask))
-        .filter(|candidate| reach == Reach::Far || is_near(candidate.place, ask))
+        .filter_map(|(index, place)| candidate(index, place, demand))
+        .filter(|candidate| reach == Reach::Remote || is_near(candidate.place, demand))
         .collect();
-    if ask.wants_one_rack {
-        let in_one_rack = by_rack(&candidates).into_values().filter_map(|rack| fill(&rack, ask));
-        let best = in_one_rack.min_by_key(|(cost, _)| *cost).map(|(_, seats)| seats);
+    if demand.wants_one_rack {
+        let in_one_rack = by_rack(&candidates).into_values().filter_map(|rack| fill(&rack, demand));
+        let best = in_one_rack.min_by_key(|(cost, _)| *cost).map(|(_, assignments)| assignments);
         if best.is_some() || reach == Reach::Near {
             return best;
         }
     }
-    fill(&candidates, ask).map(|(_, seats)| seats)
+    fill(&candidates, demand).map(|(_, assignments)| assignments)
 }
 
 /// A place as a candidate for a group; none if it can't hold any of its tasks.
-fn candidate<'a>(index: usize, place: &'a Place, ask: &Ask) -> Option<Candidate<'a>> {
-    let has_label = ask.label.is_empty() || place.labels.contains(&ask.label);
-    let mut tasks = place.free.count_fitting(ask.room);
-    if ask.per_worker > 0 {
-        let present = ask.present.get(&*place.worker).copied().unwrap_or(0);
-        tasks = tasks.min(ask.per_worker.saturating_sub(present));
+fn candidate<'a>(index: usize, place: &'a Place, demand: &Demand) -> Option<Candidate<'a>> {
+    let has_label = demand.label.is_empty() || place.labels.contains(&demand.label);
+    let mut tasks = place.free.count_fitting(demand.resources);
+    if demand.per_worker > 0 {
+        let present = demand.present.get(&*place.worker).copied().unwrap_or(0);
+        tasks = tasks.min(demand.per_worker.saturating_sub(present));
     }
-    let is_avoided = ask.avoid.iter().any(|name| **name == *place.worker);
+    let is_avoided = demand.avoid.iter().any(|name| **name == *place.worker);
     let suspicion = place.doubt + u32::from(is_avoided) * AVOIDED_SUSPICION;
     (has_label && tasks > 0).then_some(Candidate { index, place, tasks, suspicion })
 }
@@ -111,8 +111,8 @@
 /// other worker.
 const AVOIDED_SUSPICION: u32 = 100;
 
-fn is_near(place: &Place, ask: &Ask) -> bool {
-    ask.near_rack.is_empty() || *place.rack == *ask.near_rack
+fn is_near(place: &Place, demand: &Demand) -> bool {
+    demand.near_rack.is_empty() || *place.rack == *demand.near_rack
 }
 
 fn by_rack<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
@@ -128,50 +128,50 @@
 type Cost = (u32, u32, u32, u64);
 
 /// Assigns the group to as few workers as possible, those with the least left free first.
-fn fill(candidates: &[Candidate<'_>], ask: &Ask) -> Option<(Cost, Vec<Seat>)> {
+fn fill(candidates: &[Candidate<'_>], demand: &Demand) -> Option<(Cost, Vec<Assignment>)> {
     let total: u64 = candidates.iter().map(|candidate| u64::from(candidate.tasks)).sum();
-    if total < u64::from(ask.tasks) {
+    if total < u64::from(demand.tasks) {
         return None;
     }
     let mut unused: Vec<Candidate<'_>> = candidates.to_vec();
-    let mut missing = ask.tasks;
+    let mut missing = demand.tasks;
     let mut cost: Cost = (0, 0, 0, 0);
-    let mut seats = Vec::new();
-    let mut bound = bound(ask);
+    let mut assignments = Vec::new();
+    let mut bound = bound(demand);
     while missing > 0 {
         let best = match bound.pop_first() {
             Some((worker, tasks)) => {
                 let at = unused.iter().position(|candidate| *candidate.place.worker == *worker)?;
                 (unused[at].tasks >= tasks).then_some(at)?
             }
-            None => (0..unused.len()).min_by_key(|at| preference(&unused[*at], ask, missing))?,
+            None => (0..unused.len()).min_by_key(|at| preference(&unused[*at], demand, missing))?,
         };
         let candidate = unused.swap_remove(best);
         let bound_elsewhere = bound.values().sum::<u32>();
         let tasks = candidate.tasks.min(missing - bound_elsewhere.min(missing));
         missing -= tasks;
-        let (suspicion, far, broken, free) = candidate_cost(&candidate, ask, tasks);
-        cost = (cost.0 + suspicion, cost.1 + far, cost.2 + broken, cost.3 + free);
-        seats.push(Seat { place: candidate.index, tasks });
+        let (suspicion, remote, broken, free) = candidate_cost(&candidate, demand, tasks);
+        cost = (cost.0 + suspicion, cost.1 + remote, cost.2 + broken, cost.3 + free);
+        assignments.push(Assignment { place: candidate.index, tasks });
     }
-    Some((cost, seats))
+    Some((cost, assignments))
 }
 
 /// Number of tasks that may only go to one particular worker, by worker.
-fn bound(ask: &Ask) -> BTreeMap<&str, u32> {
+fn bound(demand: &Demand) -> BTreeMap<&str, u32> {
     let mut bound: BTreeMap<&str, u32> = BTreeMap::new();
-    for worker in ask.bound.values() {
+    for worker in demand.bound.values() {
         *bound.entry(worker).or_default() += 1;
     }
     bound
 }
 
 /// Cost of assigning some tasks to one candidate.
-fn candidate_cost(candidate: &Candidate<'_>, ask: &Ask, tasks: u32) -> Cost {
+fn candidate_cost(candidate: &Candidate<'_>, demand: &Demand, tasks: u32) -> Cost {
     let is_idle = candidate.place.free == candidate.place.capacity;
-    let left = candidate.place.free.minus(ask.room.times(tasks.into())).accelerators;
+    let left = candidate.place.free.minus(demand.resources.times(tasks.into())).accelerators;
     let broken = u32::from(is_idle && left > 0);
-    (candidate.suspicion, u32::from(!is_near(candidate.place, ask)), broken, left)
+    (candidate.suspicion, u32::from(!is_near(candidate.place, demand)), broken, left)
 }
 
 /// Sort key of the order in which workers are used: healthy ones first, then those near the data,
@@ -179,23 +179,23 @@
 /// most tasks.
 fn preference(
     candidate: &Candidate<'_>,
-    ask: &Ask,
+    demand: &Demand,
     missing: u32,
 ) -> (u32, u32, u32, u32, u64, u64) {
-    let (suspicion, far, broken, left) =
-        candidate_cost(candidate, ask, candidate.tasks.min(missing));
+    let (suspicion, remote, broken, left) =
+        candidate_cost(candidate, demand, candidate.tasks.min(missing));
     let shortfall = missing.saturating_sub(candidate.tasks);
     let cores = candidate.place.free.millicores;
-    (suspicion, far, shortfall, broken, left, cores)
+    (suspicion, remote, shortfall, broken, left, cores)
 }
 
 /// Places for work that can wait and that a stop would lose: the last `keep` healthy workers on which
 /// nothing runs are reserved, that is, shown without free resources.
 ///
 /// Guards against urgent tasks, each of which needs a complete worker, having to stop work that has
-/// run for seconds because long tasks have spread over all workers. This is avoided by one or two
-/// workers that only work with nothing to lose may use.
-pub fn spare(places: &[Place], keep: usize) -> Vec<Place> {
+/// run for seconds because long tasks have spread over all workers. The reserved workers stay
+/// available to work that loses nothing when it is stopped.
+pub fn without_reserved(places: &[Place], keep: usize) -> Vec<Place> {
     let is_idle = |place: &Place| place.free == place.capacity && place.doubt == 0;
     let mut idle = places.iter().filter(|place| is_idle(place)).count();
     let mut unreserved = places.to_vec();
--- a/crates/plan/src/bind.rs
+++ b/crates/plan/src/bind.rs
@@ -50,12 +50,12 @@
     let mut bound: BTreeMap<(id::Worker, id::Organisation), u32> = BTreeMap::new();
     let mut short = Vec::new();
     let mut guarantees = options.guarantees.clone();
-    guarantees.sort_by_key(|(line, guarantee)| (demand(guarantee), *line));
+    guarantees.sort_by_key(|(line, guarantee)| (demand_order(guarantee), *line));
     for (line, guarantee) in guarantees {
         let mut missing = 0;
         for _ in 0..guarantee.count {
             match bind_one(&unbound, guarantee, options.previous, &bound) {
-                Some(seats) => take(&mut unbound, &mut bound, guarantee, &seats),
+                Some(assignments) => take(&mut unbound, &mut bound, guarantee, &assignments),
                 None => missing += 1,
             }
         }
@@ -75,7 +75,7 @@
 
 /// Sort key by which the most demanding guarantees come first: those with the closest adjacency,
 /// then those with the largest gang.
-fn demand(guarantee: &rule::Guarantee) -> (std::cmp::Reverse<i32>, std::cmp::Reverse<u32>) {
+fn demand_order(guarantee: &rule::Guarantee) -> (std::cmp::Reverse<i32>, std::cmp::Reverse<u32>) {
     let adjacency = guarantee.adjacency as i32;
     (std::cmp::Reverse(adjacency), std::cmp::Reverse(guarantee.accelerators * guarantee.tasks))
 }
@@ -121,7 +121,7 @@
     guarantee: &rule::Guarantee,
     previous: &[Binding],
     bound: &BTreeMap<(id::Worker, id::Organisation), u32>,
-) -> Option<Vec<place::Seat>> {
+) -> Option<Vec<place::Assignment>> {
     let shape = shape(guarantee);
     let options = place::Options::borrowing(&guarantee.organisation, &shape);
     let here = within(unbound, &guarantee.place, |_, _| true);
@@ -138,7 +138,7 @@
         within(unbound, &guarantee.place, |name, _| reusable(name) >= shape.accelerators);
     let outcome =
         place::place(&previous_workers, &options).or_else(|| place::place(&here, &options))?;
-    Some(outcome.seats)
+    Some(outcome.assignments)
 }
 
 /// The workers at a place of the rule file that meet a condition.
@@ -161,12 +161,12 @@
     unbound: &mut Fleet,
     bound: &mut BTreeMap<(id::Worker, id::Organisation), u32>,
     guarantee: &rule::Guarantee,
-    seats: &[place::Seat],
+    assignments: &[place::Assignment],
 ) {
     let shape = shape(guarantee);
-    for seat in seats {
-        unbound.take(&seat.worker, &guarantee.organisation, &shape, seat.tasks, false);
-        let key = (seat.worker.clone(), guarantee.organisation.clone());
-        *bound.entry(key).or_default() += guarantee.accelerators * seat.tasks;
+    for assignment in assignments {
+        unbound.take(&assignment.worker, &guarantee.organisation, &shape, assignment.tasks, false);
+        let key = (assignment.worker.clone(), guarantee.organisation.clone());
+        *bound.entry(key).or_default() += guarantee.accelerators * assignment.tasks;
     }
 }
--- a/crates/plan/src/clear.rs
+++ b/crates/plan/src/clear.rs
@@ -7,9 +7,8 @@
 use std::time::Duration;
 
 use crate::{
-    evict,
-    seat::{Ask, Place, Reach, Seat},
-    wait,
+    assignment::{Assignment, Demand, Place, Reach},
+    evict, wait,
 };
 
 /// A run that is expected to end within this time is not worth stopping.
@@ -48,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Urgent<'a> {
     /// Requirements of the group.
-    pub ask: &'a Ask,
+    pub demand: &'a Demand,
     /// Which workers it may be assigned to.
     pub reach: Reach,
     /// Whether it is within its organisation's guarantee.
@@ -63,7 +62,7 @@
     /// Indices of the candidates that are stopped.
     pub stops: Vec<usize>,
     /// Places that the group is assigned to.
-    pub seats: Vec<Seat>,
+    pub assignments: Vec<Assignment>,
     /// Cost of the stops in processor seconds.
     pub cost: f64,
     /// Expected time until the group can start.
@@ -122,7 +121,7 @@
         candidate.victim.at_cost(if ends_in_time { 0.0 } else { candidate.victim.cost })
     };
     let releases: Vec<evict::Release<'_>> = allowed.iter().map(release).collect();
-    let outcome = evict::choose(places, &releases, urgent.ask, urgent.reach)?;
+    let outcome = evict::choose(places, &releases, urgent.demand, urgent.reach)?;
     let chosen: Vec<usize> = outcome.victims.iter().map(|at| allowed[*at]).collect();
     let ends_by_itself = |candidate: &Candidate| candidate.remaining <= wait;
     let time_until_end = |at: &usize| {
@@ -136,5 +135,5 @@
         !candidate.is_stopping && !ends_by_itself(candidate)
     };
     let stops = chosen.into_iter().filter(is_stopped).collect();
-    Some(Choice { wait, stops, seats: outcome.seats, cost: outcome.cost, delay })
+    Some(Choice { wait, stops, assignments: outcome.assignments, cost: outcome.cost, delay })
 }
--- a/crates/plan/src/evict.rs
+++ b/crates/plan/src/evict.rs
@@ -8,7 +8,7 @@
 
 use sapphire_jobs::resources::Resources;
 
-use crate::seat::{self, Ask, Place, Reach, Seat};
+use crate::assignment::{self, Assignment, Demand, Place, Reach};
 
 /// A running group that may be stopped.
 #[derive(Clone, Debug)]
@@ -16,23 +16,23 @@
     /// Cost of the stop in processor seconds.
     pub cost: f64,
     /// Resources that its end releases, each with the index of the place.
-    pub seats: Vec<(usize, Resources)>,
+    pub released: Vec<(usize, Resources)>,
 }
 
 impl Victim {
     /// The release of this group's resources in one search, at the given cost.
     pub fn at_cost(&self, cost: f64) -> Release<'_> {
-        Release { cost, seats: &self.seats }
+        Release { cost, released: &self.released }
     }
 }
 
-/// Resources that the end of one group would release, at a cost that may differ between searches.
+/// The resources that the end of one group would release, at a cost that depends on the search.
 #[derive(Clone, Copy, Debug)]
 pub struct Release<'a> {
     /// Cost of the release, such as processor seconds that a stop loses.
     pub cost: f64,
     /// Released resources, each with the index of the place.
-    pub seats: &'a [(usize, Resources)],
+    pub released: &'a [(usize, Resources)],
 }
 
 /// Result of a search: what to stop, and where the urgent group goes once that has ended.
@@ -41,7 +41,7 @@
     /// Indices of the releases that are needed.
     pub victims: Vec<usize>,
     /// Places that the urgent group is assigned to.
-    pub seats: Vec<Seat>,
+    pub assignments: Vec<Assignment>,
     /// Total cost of the releases.
     pub cost: f64,
 }
@@ -51,24 +51,24 @@
 pub fn choose(
     places: &[Place],
     releases: &[Release<'_>],
-    ask: &Ask,
+    demand: &Demand,
     reach: Reach,
 ) -> Option<Outcome> {
     let mut order: Vec<usize> = (0..releases.len()).collect();
     order.sort_by(|left, right| releases[*left].cost.total_cmp(&releases[*right].cost));
     let everywhere = || {
         let all: Vec<usize> = (0..places.len()).collect();
-        Search::new(places, &all, releases, order.clone()).run(ask, reach)
+        Search::new(places, &all, releases, order.clone()).run(demand, reach)
     };
-    if !ask.wants_one_rack {
+    if !demand.wants_one_rack {
         return everywhere();
     }
     let racks = Racks::new(places, releases, &order);
     let in_one_rack = racks.all.into_iter().filter_map(|rack| {
-        Search::new(places, &rack.places, releases, rack.order).run(ask, Reach::Near)
+        Search::new(places, &rack.places, releases, rack.order).run(demand, Reach::Near)
     });
     let best = in_one_rack.min_by(|left, right| left.cost.total_cmp(&right.cost));
-    best.or_else(|| (reach == Reach::Far).then(everywhere).flatten())
+    best.or_else(|| (reach == Reach::Remote).then(everywhere).flatten())
 }
 
 /// One rack, with the releases that affect it.
@@ -98,7 +98,7 @@
             all[*rack].places.push(place);
         }
         for release in order {
-            for (place, _) in releases[*release].seats {
+            for (place, _) in releases[*release].released {
                 let rack_order = &mut all[rack_of_place[*place]].order;
                 if rack_order.last() != Some(release) {
                     rack_order.push(*release);
@@ -142,39 +142,42 @@
 
     /// Finds the shortest sufficient prefix of the releases in the order of their cost, then drops
     /// those that are not needed, the most expensive first.
-    fn run(mut self, ask: &Ask, reach: Reach) -> Option<Outcome> {
+    fn run(mut self, demand: &Demand, reach: Reach) -> Option<Outcome> {
         let order = std::mem::take(&mut self.order);
         // More releases never make fewer tasks fit, so the smallest sufficient prefix is found by
         // bisection.
-        let mut seats = self.assign_after(&order, ask, reach)?;
+        let mut assignments = self.assign_after(&order, demand, reach)?;
         let (mut lower, mut upper) = (0, order.len());
         while lower < upper {
             let middle = lower.midpoint(upper);
-            match self.assign_after(&order[..middle], ask, reach) {
-                Some(found) => (upper, seats) = (middle, found),
+            match self.assign_after(&order[..middle], demand, reach) {
+                Some(found) => (upper, assignments) = (middle, found),
                 None => lower = middle + 1,
             }
         }
         let mut is_assigned = vec![false; self.places.len()];
-        for seat in &seats {
-            is_assigned[seat.place] = true;
+        for assignment in &assignments {
+            is_assigned[assignment.place] = true;
         }
         let is_used = |(at, _): &(usize, Resources)| {
             self.position[*at].is_some_and(|position| is_assigned[position as usize])
         };
-        let is_useful = |index: &usize| self.releases[*index].seats.iter().any(is_used);
+        let is_useful = |index: &usize| self.releases[*index].released.iter().any(is_used);
         let mut chosen: Vec<usize> = order[..upper].iter().copied().filter(is_useful).collect();
         for at in (0..chosen.len()).rev() {
             let candidate = chosen.remove(at);
-            match self.assign_after(&chosen, ask, reach) {
-                Some(found) => seats = found,
+            match self.assign_after(&chosen, demand, reach) {
+                Some(found) => assignments = found,
                 None => chosen.insert(at, candidate),
             }
         }
         let cost = chosen.iter().map(|index| self.releases[*index].cost).sum();
-        let to_origin = |seat: Seat| Seat { place: self.origin[seat.place], ..seat };
-        let seats = seats.into_iter().map(to_origin).collect();
-        Some(Outcome { victims: chosen, seats, cost })
+        let to_origin = |assignment: Assignment| Assignment {
+            place: self.origin[assignment.place],
+            ..assignment
+        };
+        let assignments = assignments.into_iter().map(to_origin).collect();
+        Some(Outcome { victims: chosen, assignments, cost })
     }
 
     /// Assigns the group to places after some releases. Resources that are promised to other groups
@@ -182,12 +185,17 @@
     ///
     /// Guards against promising resources twice: in a burst, two urgent groups would wait for the
     /// end of the same work, and the second would have to wait again after the first has started.
-    fn assign_after(&mut self, included: &[usize], ask: &Ask, reach: Reach) -> Option<Vec<Seat>> {
+    fn assign_after(
+        &mut self,
+        included: &[usize],
+        demand: &Demand,
+        reach: Reach,
+    ) -> Option<Vec<Assignment>> {
         for (place, free) in self.places.iter_mut().zip(&self.base) {
             place.free = *free;
         }
         for index in included {
-            for (at, resources) in self.releases[*index].seats {
+            for (at, resources) in self.releases[*index].released {
                 if let Some(position) = self.position[*at] {
                     let place = &mut self.places[position as usize];
                     place.free = place.free.plus(*resources);
@@ -197,6 +205,6 @@
         for place in &mut self.places {
             place.free = place.free.minus(place.owed);
         }
-        seat::seat(&self.places, ask, reach)
+        assignment::assign(&self.places, demand, reach)
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -3,6 +3,7 @@
 //! over plain state.
 
 pub mod admit;
+pub mod assignment;
 pub mod bind;
 pub mod clear;
 pub mod estimate;
@@ -17,7 +18,6 @@
 pub mod rank;
 pub mod reclaim;
 pub mod reserve;
-pub mod seat;
 pub mod suspect;
 pub mod wait;
 pub mod waves;
--- a/crates/plan/src/pass.rs
+++ b/crates/plan/src/pass.rs
@@ -12,7 +12,7 @@
 use crate::{
     bind,
     fleet::Fleet,
-    place::{self, Seat},
+    place::{self, Assignment},
     queue,
 };
 
@@ -40,7 +40,7 @@
     /// Shape of the gang.
     pub shape: Shape,
     /// Workers that it runs on.
-    pub seats: Vec<Seat>,
+    pub assignments: Vec<Assignment>,
     /// Whether it runs on its organisation's guarantee.
     pub is_guaranteed: bool,
     /// Expected remaining run time.
@@ -243,9 +243,15 @@
     /// Records the start of a gang and marks its resources as used.
     fn start(&mut self, job: &Job, place: place::Outcome, is_guaranteed: bool) {
         let shape = job.shape.unwrap_or_default();
-        for seat in &place.seats {
+        for assignment in &place.assignments {
             let fleet = &mut self.options.fleet;
-            fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
+            fleet.take(
+                &assignment.worker,
+                &job.organisation,
+                &shape,
+                assignment.tasks,
+                is_guaranteed,
+            );
         }
         if !is_guaranteed {
             let accelerators = queue::accelerators(job);
@@ -314,9 +320,9 @@
 
     /// Whether a placement uses accelerators that are bound to guarantees.
     fn uses_bound(&self, place: &place::Outcome, shape: &Shape) -> bool {
-        place.seats.iter().any(|seat| {
-            let worker = self.options.fleet.workers.get(&seat.worker);
-            worker.is_some_and(|w| w.unbound_free() < shape.accelerators * seat.tasks)
+        place.assignments.iter().any(|assignment| {
+            let worker = self.options.fleet.workers.get(&assignment.worker);
+            worker.is_some_and(|w| w.unbound_free() < shape.accelerators * assignment.tasks)
         })
     }
 
@@ -348,11 +354,12 @@
         let borrowing = place::Options::borrowing(&job.organisation, shape);
         let options = place::Options { avoid: &avoid, ..borrowing };
         for running in ends {
-            for seat in &running.seats {
-                fleet.give(&seat.worker, &running.shape, seat.tasks);
+            for assignment in &running.assignments {
+                fleet.give(&assignment.worker, &running.shape, assignment.tasks);
             }
             if let Some(place) = place::place(&fleet, &options) {
-                let workers = place.seats.into_iter().map(|seat| seat.worker).collect();
+                let workers =
+                    place.assignments.into_iter().map(|assignment| assignment.worker).collect();
                 return Some(Reservation { workers, within: running.remaining });
             }
         }
--- a/crates/plan/src/place.rs
+++ b/crates/plan/src/place.rs
@@ -38,7 +38,7 @@
 
 /// Tasks of the gang on one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Assignment {
     /// Name of the worker.
     pub worker: id::Worker,
     /// Number of tasks.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// One entry for each worker; together they hold the complete gang.
-    pub seats: Vec<Seat>,
+    pub assignments: Vec<Assignment>,
     /// Name of the chosen group of workers: a worker, rack or zone.
     pub group: String,
     /// Name of the second-best group; empty if there was none.
@@ -88,8 +88,8 @@
     candidates.sort_by(|left, right| left.group(adjacency).cmp(&right.group(adjacency)));
     let groups = candidates.chunk_by(|left, right| left.group(adjacency) == right.group(adjacency));
     let ranked = groups.filter_map(|candidates| {
-        let (score, seats) = fill_group(candidates, options, blocks.as_ref())?;
-        Some((score, candidates[0].group(adjacency), seats))
+        let (score, assignments) = fill_group(candidates, options, blocks.as_ref())?;
+        Some((score, candidates[0].group(adjacency), assignments))
     });
     let mut best: Option<(Score, Group<'_>, Selection<'_, '_>)> = None;
     let mut second: Option<(Score, Group<'_>)> = None;
@@ -104,7 +104,7 @@
     let (score, group, selected) = best?;
     let intact = blocks.map_or(0, |blocks| blocks.count().saturating_sub(score.broken));
     Some(Outcome {
-        seats: seats(&selected),
+        assignments: assignments(&selected),
         group: group_name(group),
         runner_up: second.map(|(_, group)| group_name(group)).unwrap_or_default(),
         broken: score.broken,
@@ -137,14 +137,14 @@
     }
 }
 
-fn seats(selected: &[(&Candidate<'_>, u32)]) -> Vec<Seat> {
-    let seat = |(candidate, tasks): &(&Candidate<'_>, u32)| Seat {
+fn assignments(selected: &[(&Candidate<'_>, u32)]) -> Vec<Assignment> {
+    let assignment = |(candidate, tasks): &(&Candidate<'_>, u32)| Assignment {
         worker: candidate.name.clone(),
         tasks: *tasks,
     };
-    let mut seats: Vec<Seat> = selected.iter().map(seat).collect();
-    seats.sort_by(|left, right| left.worker.cmp(&right.worker));
-    seats
+    let mut assignments: Vec<Assignment> = selected.iter().map(assignment).collect();
+    assignments.sort_by(|left, right| left.worker.cmp(&right.worker));
+    assignments
 }
 
 /// Number of tasks of the gang that a worker can hold.
@@ -205,9 +205,9 @@
     }
 
     /// Number of blocks that are broken if the given numbers of accelerators are taken on workers.
-    fn broken(&self, seats: &[(&Worker, u32)]) -> u32 {
+    fn broken(&self, assignments: &[(&Worker, u32)]) -> u32 {
         let mut lost: BTreeMap<(&str, &str), u32> = BTreeMap::new();
-        for (worker, accelerators) in seats {
+        for (worker, accelerators) in assignments {
             let before = tasks_free(worker, 0, self.spare);
             let after = tasks_free(worker, *accelerators, self.spare);
             let rack = (worker.zone.as_str(), worker.rack.as_str());
--- a/crates/plan/src/reserve.rs
+++ b/crates/plan/src/reserve.rs
@@ -10,8 +10,8 @@
 use sapphire_jobs::resources::Resources;
 
 use crate::{
+    assignment::{Demand, Place, Reach},
     evict,
-    seat::{Ask, Place, Reach},
 };
 
 /// Longest time that a reservation is expected to wait. Used for running work whose end can't be
@@ -24,7 +24,7 @@
     /// Expected remaining run time.
     pub remaining: Duration,
     /// Resources that the end of the group releases, each with the index of the place.
-    pub seats: &'a [(usize, Resources)],
+    pub released: &'a [(usize, Resources)],
 }
 
 /// Resources that are reserved for one waiting group.
@@ -40,22 +40,27 @@
     /// Reserves resources for a group where all that it needs is released soonest. Those that are
     /// free already are subtracted from the free resources of the places. Reserves nothing if the
     /// group would not fit even after all running groups have ended.
-    pub fn new<'a>(places: &mut [Place], running: &[Running<'a>], ask: &Ask, reach: Reach) -> Self {
+    pub fn new<'a>(
+        places: &mut [Place],
+        running: &[Running<'a>],
+        demand: &Demand,
+        reach: Reach,
+    ) -> Self {
         let release_of = |run: &'_ Running<'a>| {
             let cost = run.remaining.min(LONGEST_WAIT).as_secs_f64();
-            evict::Release { cost, seats: run.seats }
+            evict::Release { cost, released: run.released }
         };
         let releases: Vec<evict::Release<'_>> = running.iter().map(release_of).collect();
-        let Some(outcome) = evict::choose(places, &releases, ask, reach) else {
+        let Some(outcome) = evict::choose(places, &releases, demand, reach) else {
             return Reservation::default();
         };
         let wait = outcome.victims.iter().map(|at| releases[*at].cost).fold(0.0, f64::max);
         let mut reserved = BTreeMap::new();
-        for seat in &outcome.seats {
-            let place = &mut places[seat.place];
-            let needed = ask.room.times(seat.tasks.into());
+        for assignment in &outcome.assignments {
+            let place = &mut places[assignment.place];
+            let needed = demand.resources.times(assignment.tasks.into());
             let remaining_free = place.free.minus(needed);
-            reserved.insert(seat.place, place.free.minus(remaining_free));
+            reserved.insert(assignment.place, place.free.minus(remaining_free));
             place.owed = place.owed.plus(needed.minus(place.free));
             place.free = remaining_free;
         }
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -10,7 +10,8 @@
 };
 use sapphire_jobs::resources::Resources;
 use sapphire_plan::{
-    admit, clear, estimate, evict, fleet, health, pace, pass, reclaim, reserve, seat, wait, waves,
+    admit, assignment, clear, estimate, evict, fleet, health, pace, pass, reclaim, reserve, wait,
+    waves,
 };
 use sapphire_rules::file;
 use sapphire_wire::{Adjacency, Job, Shape, resource};
@@ -171,15 +172,24 @@
         for start in &outcome.starts {
             let job = jobs.iter().find(|job| job.id == start.job).expect("it was waiting");
             let shape = job.shape.expect("it has one");
-            let tasks: u32 = start.place.seats.iter().map(|seat| seat.tasks).sum();
+            let tasks: u32 = start.place.assignments.iter().map(|it| it.tasks).sum();
             prop_assert_eq!(tasks, shape.tasks);
             let rack = |worker: &str| fleet.workers[worker].rack.clone();
-            let first = rack(&start.place.seats[0].worker);
-            let is_one_rack = start.place.seats.iter().all(|seat| rack(&seat.worker) == first);
+            let first = rack(&start.place.assignments[0].worker);
+            let is_one_rack =
+                start.place.assignments.iter().all(|assignment| rack(&assignment.worker) == first);
             prop_assert!(is_one_rack || shape.adjacency() == Adjacency::Zone);
-            prop_assert!(start.place.seats.len() == 1 || shape.adjacency() != Adjacency::Worker);
-            for seat in &start.place.seats {
-                fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, start.is_guaranteed);
+            prop_assert!(
+                start.place.assignments.len() == 1 || shape.adjacency() != Adjacency::Worker
+            );
+            for assignment in &start.place.assignments {
+                fleet.take(
+                    &assignment.worker,
+                    &job.organisation,
+                    &shape,
+                    assignment.tasks,
+                    start.is_guaranteed,
+                );
             }
             if !start.is_guaranteed && job.organisation == "b" {
                 borrowed += shape.accelerators * shape.tasks;
@@ -413,20 +423,24 @@
 /// urgent task with enough slack waits for the first; one without slack stops the cheaper one.
 #[test]
 fn an_urgent_group_waits_or_stops_work_whichever_costs_less() {
-    let room = Resources { accelerators: 8, ..Resources::default() };
-    let place =
-        |name: &str| seat::Place { worker: name.into(), capacity: room, ..Default::default() };
+    let resources = Resources { accelerators: 8, ..Resources::default() };
+    let place = |name: &str| assignment::Place {
+        worker: name.into(),
+        capacity: resources,
+        ..Default::default()
+    };
     let places = [place("w1"), place("w2")];
     let candidate = |at: usize, remaining: u64, cost: f64| clear::Candidate {
         priority: 1,
         is_guaranteed: false,
         is_stopping: false,
         remaining: Duration::from_millis(remaining),
-        victim: evict::Victim { cost, seats: vec![(at, room)] },
+        victim: evict::Victim { cost, released: vec![(at, resources)] },
     };
     let candidates = [candidate(0, 1_000, 600.0), candidate(1, 9_000, 200.0)];
-    let ask = seat::Ask { tasks: 1, room, ..seat::Ask::default() };
-    let urgent = clear::Urgent { ask: &ask, reach: seat::Reach::Far, is_guaranteed: false };
+    let demand = assignment::Demand { tasks: 1, resources, ..assignment::Demand::default() };
+    let urgent =
+        clear::Urgent { demand: &demand, reach: assignment::Reach::Remote, is_guaranteed: false };
     let job = |latency: u64| wait::Job {
         age: Duration::ZERO,
         expected: estimate::Estimate { centre: Duration::from_secs(3), spread: 0.3 },
@@ -444,14 +458,14 @@
     assert_eq!(clear::choose(&places[..1], &[whole], urgent, Duration::ZERO, stop), None);
 }
 
-fn place(worker: &str, rack: &str, capacity: u64, free: u64) -> seat::Place {
+fn place(worker: &str, rack: &str, capacity: u64, free: u64) -> assignment::Place {
     let room = |accelerators| Resources { millicores: 1_000, memory_mib: 1_000, accelerators };
-    seat::Place {
+    assignment::Place {
         worker: worker.into(),
         rack: rack.into(),
         capacity: room(capacity),
         free: if free == 0 { Resources::default() } else { room(free) },
-        ..seat::Place::default()
+        ..assignment::Place::default()
     }
 }
 
@@ -461,14 +475,18 @@
 fn each_group_has_a_reservation_of_its_own() {
     let whole = Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 8 };
     let mut places = vec![place("w1", "r1", 8, 0), place("w2", "r1", 8, 0)];
-    let seats = [[(0, whole)], [(1, whole)]];
+    let released = [[(0, whole)], [(1, whole)]];
     let running: Vec<reserve::Running<'_>> = [3, 6]
         .into_iter()
-        .zip(&seats)
-        .map(|(seconds, seats)| reserve::Running { remaining: Duration::from_secs(seconds), seats })
+        .zip(&released)
+        .map(|(seconds, released)| reserve::Running {
+            remaining: Duration::from_secs(seconds),
+            released,
+        })
         .collect();
-    let ask = seat::Ask { tasks: 1, room: whole, ..seat::Ask::default() };
-    let mut reserve = || reserve::Reservation::new(&mut places, &running, &ask, seat::Reach::Far);
+    let demand = assignment::Demand { tasks: 1, resources: whole, ..assignment::Demand::default() };
+    let mut reserve =
+        || reserve::Reservation::new(&mut places, &running, &demand, assignment::Reach::Remote);
     let (first, second, third) = (reserve(), reserve(), reserve());
     assert_eq!(first.wait(), Duration::from_secs(3));
     assert_eq!(second.wait(), Duration::from_secs(6));
@@ -481,31 +499,37 @@
 #[test]
 fn each_rack_is_searched_independently_of_the_others() {
     let room = |accelerators| Resources { millicores: 0, memory_mib: 0, accelerators };
-    let places: Vec<seat::Place> = (0..6)
-        .map(|at| seat::Place {
+    let places: Vec<assignment::Place> = (0..6)
+        .map(|at| assignment::Place {
             worker: format!("w{at}").into(),
             rack: format!("r{}", at / 2).into(),
             capacity: room(8),
-            ..seat::Place::default()
+            ..assignment::Place::default()
         })
         .collect();
     let victims: Vec<evict::Victim> = (0..24)
         .map(|at: usize| evict::Victim {
             cost: ((at * 7) % 24) as f64,
-            seats: vec![(at % 6, room(2))],
+            released: vec![(at % 6, room(2))],
         })
         .collect();
-    let ask = seat::Ask { tasks: 2, room: room(6), wants_one_rack: true, ..seat::Ask::default() };
+    let demand = assignment::Demand {
+        tasks: 2,
+        resources: room(6),
+        wants_one_rack: true,
+        ..assignment::Demand::default()
+    };
     let releases: Vec<evict::Release<'_>> =
         victims.iter().map(|victim| victim.at_cost(victim.cost)).collect();
-    let all = evict::choose(&places, &releases, &ask, seat::Reach::Near).expect("three racks");
+    let all =
+        evict::choose(&places, &releases, &demand, assignment::Reach::Near).expect("three racks");
     let separately = (0..3).map(|rack: usize| {
         let is_here = |at: usize| at / 2 == rack;
         let releases: Vec<evict::Release<'_>> = (victims.iter())
-            .filter(|victim| is_here(victim.seats[0].0))
+            .filter(|victim| is_here(victim.released[0].0))
             .map(|victim| victim.at_cost(victim.cost))
             .collect();
-        evict::choose(&places, &releases, &ask, seat::Reach::Near).expect("one rack").cost
+        evict::choose(&places, &releases, &demand, assignment::Reach::Near).expect("one rack").cost
     });
     let lowest = separately.fold(f64::MAX, f64::min);
     assert_eq!(all.cost.to_bits(), lowest.to_bits());
@@ -517,33 +541,42 @@
 #[test]
 fn tasks_that_are_bound_to_a_worker_are_assigned_there() {
     let places = [place("w1", "r1", 8, 8), place("w2", "r1", 8, 8), place("w3", "r2", 8, 4)];
-    let bound = |pairs: &[(u32, &str)]| seat::Ask {
+    let bound = |pairs: &[(u32, &str)]| assignment::Demand {
         tasks: 3,
-        room: Resources { accelerators: 4, ..Resources::default() },
+        resources: Resources { accelerators: 4, ..Resources::default() },
         bound: pairs.iter().map(|(task, worker)| (*task, (*worker).to_owned())).collect(),
-        ..seat::Ask::default()
+        ..assignment::Demand::default()
     };
-    let seat = |ask: &seat::Ask, reach| {
-        let seats = seat::seat(&places, ask, reach)?;
-        let by_name = |seat: &seat::Seat| (places[seat.place].worker.to_string(), seat.tasks);
-        Some(seats.iter().map(by_name).collect::<Vec<_>>())
+    let assign = |demand: &assignment::Demand, reach| {
+        let assignments = assignment::assign(&places, demand, reach)?;
+        let by_name = |it: &assignment::Assignment| (places[it.place].worker.to_string(), it.tasks);
+        Some(assignments.iter().map(by_name).collect::<Vec<_>>())
     };
     let one = bound(&[(2, "w3")]);
     insta::assert_snapshot!(
-        format!("{:?}", seat(&one, seat::Reach::Far)),
+        format!("{:?}", assign(&one, assignment::Reach::Remote)),
         @r#"Some([("w3", 1), ("w1", 2)])"#
     );
     let two = bound(&[(0, "w2"), (1, "w1")]);
-    let seats = seat(&two, seat::Reach::Far).expect("the group fits");
+    let assignments = assign(&two, assignment::Reach::Remote).expect("the group fits");
     assert!(
-        seats.iter().any(|(name, _)| name == "w1") && seats.iter().any(|(name, _)| name == "w2")
+        assignments.iter().any(|(name, _)| name == "w1")
+            && assignments.iter().any(|(name, _)| name == "w2")
     );
     assert_eq!(
-        seat(&bound(&[(0, "w3"), (1, "w3")]), seat::Reach::Far),
+        assign(&bound(&[(0, "w3"), (1, "w3")]), assignment::Reach::Remote),
         None,
         "only one task fits there"
     );
-    assert_eq!(seat(&bound(&[(0, "w9")]), seat::Reach::Far), None, "there is no such worker");
-    let in_one_rack = seat::Ask { wants_one_rack: true, ..one };
-    assert_eq!(seat(&in_one_rack, seat::Reach::Near), None, "only one task fits in its rack");
+    assert_eq!(
+        assign(&bound(&[(0, "w9")]), assignment::Reach::Remote),
+        None,
+        "there is no such worker"
+    );
+    let in_one_rack = assignment::Demand { wants_one_rack: true, ..one };
+    assert_eq!(
+        assign(&in_one_rack, assignment::Reach::Near),
+        None,
+        "only one task fits in its rack"
+    );
 }
--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/board.rs
@@ -11,9 +11,9 @@
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
+    assignment::{Demand, Place},
     clear, evict,
     reserve::Reservation,
-    seat::{Ask, Place},
     suspect::Doubt,
     wait,
 };
@@ -78,11 +78,11 @@
     }
 
     /// Keeps room for a group that waits for it to be freed.
-    pub(crate) fn take_claim(&mut self, claim: &Claim, ask: &Ask) {
+    pub(crate) fn take_claim(&mut self, claim: &Claim, ask: &Demand) {
         for (name, tasks) in &claim.seats {
             if let Some(at) = self.index.get(name) {
                 let place = &mut self.places[*at];
-                let claimed = ask.room.times((*tasks).into());
+                let claimed = ask.resources.times((*tasks).into());
                 place.owed = place.owed.plus(claimed.minus(place.free));
                 place.free = place.free.minus(claimed);
             }
@@ -175,7 +175,7 @@
                 let end = Self::age(entry, now).saturating_add(remaining);
                 let lateness = self.lateness(priority, objective.saturating_sub(end));
                 let cost = self.stop_cost(now, step, active) + lateness / running as f64;
-                let victim = evict::Victim { cost, seats: seats.collect() };
+                let victim = evict::Victim { cost, released: seats.collect() };
                 let is_stopping = active.is_stopping;
                 found.keys.push((job, *key));
                 found.of_plan.push(clear::Candidate {
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -13,8 +13,8 @@
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
+    assignment::{self, Demand, Place, Reach},
     rank,
-    seat::{self, Ask, Place, Reach},
 };
 
 use crate::{
@@ -145,12 +145,12 @@
         }
     }
 
-    fn ask(&self, entry: &Entry, key: &GroupKey) -> Option<Ask> {
+    fn ask(&self, entry: &Entry, key: &GroupKey) -> Option<Demand> {
         let step = entry.step(key.step)?;
         let group = entry.groups.get(key)?;
-        Some(Ask {
+        Some(Demand {
             tasks: if step.is_gang { step.tasks } else { 1 },
-            room: Resources::read(step.room.as_ref()),
+            resources: Resources::read(step.room.as_ref()),
             label: step.label.clone(),
             near_rack: step.near_rack.clone(),
             wants_one_rack: step.is_gang && step.wants_one_rack,
@@ -197,7 +197,7 @@
         let priority = self.terms(entry).priority;
         let reach = self.reach(now, board, entry, key, &ask, is_guaranteed);
         let places = self.open_places(now, board, entry, key, &ask);
-        let seats = seat::seat(&places, &ask, reach);
+        let seats = assignment::assign(&places, &ask, reach);
         if let Some(seats) = seats {
             if self.is_still_there(id, key, ask.tasks) {
                 return Outcome::Waits;
@@ -231,7 +231,7 @@
         self.reserve(now, board, &ask, reach, guaranteed);
         // Siblings that have waited for longer may reach further, and others may go where this
         // one has failed.
-        let is_like_siblings = reach == Reach::Far || ask.near_rack.is_empty();
+        let is_like_siblings = reach == Reach::Remote || ask.near_rack.is_empty();
         if is_like_siblings && ask.avoid.is_empty() { Outcome::NoRoom } else { Outcome::Waits }
     }
 
@@ -282,7 +282,7 @@
         board: &'a Board,
         entry: &Entry,
         key: &GroupKey,
-        ask: &Ask,
+        ask: &Demand,
     ) -> Cow<'a, [Place]> {
         if self.terms(entry).priority > 0
             && let Some(others) = self.unavoided(now, board, entry, key, ask)
@@ -296,7 +296,7 @@
         }
         if self.options.policy.spare_workers && self.can_wait(now, entry, key) {
             let keep = SPARED.min(board.places.len() / SPARED_OF);
-            return Cow::Owned(seat::spare(&board.places, keep));
+            return Cow::Owned(assignment::without_reserved(&board.places, keep));
         }
         Cow::Borrowed(&board.places)
     }
@@ -312,7 +312,7 @@
         board: &Board,
         entry: &Entry,
         key: &GroupKey,
-        ask: &Ask,
+        ask: &Demand,
     ) -> Option<Vec<Place>> {
         let group = entry.groups.get(key)?;
         let patience = self.expect(entry, key.step);
@@ -323,7 +323,7 @@
         let others = || board.places.iter().filter(|place| !is_avoided(place)).cloned();
         let empty: Vec<Place> =
             others().map(|place| Place { free: place.capacity, ..place }).collect();
-        seat::seat(&empty, ask, Reach::Far)?;
+        assignment::assign(&empty, ask, Reach::Remote)?;
         let close = |place: &Place| {
             let free = if is_avoided(place) { Resources::default() } else { place.free };
             Place { free, ..place.clone() }
@@ -350,12 +350,12 @@
         board: &Board,
         entry: &Entry,
         key: &GroupKey,
-        ask: &Ask,
+        ask: &Demand,
         is_guaranteed: bool,
     ) -> Reach {
         let is_anywhere = !ask.wants_one_rack && ask.near_rack.is_empty();
         if is_anywhere || !self.options.policy.wait_for_rack {
-            return Reach::Far;
+            return Reach::Remote;
         }
         let group = entry.groups.get(key).expect("the caller has looked it up");
         let waited = now.steady.saturating_sub(group.since);
@@ -366,11 +366,11 @@
         let fits_near = || {
             let empty = |place: &Place| Place { free: place.capacity, ..place.clone() };
             let places: Vec<Place> = board.places.iter().map(empty).collect();
-            seat::seat(&places, ask, Reach::Near).is_some()
+            assignment::assign(&places, ask, Reach::Near).is_some()
         };
         // A slower run takes the room for longer, from everybody; only urgent work is worth that.
         let extra = if self.terms(entry).priority == 0 { extra } else { extra * PATIENT_FAR };
-        if waited >= extra || is_urgent || !fits_near() { Reach::Far } else { Reach::Near }
+        if waited >= extra || is_urgent || !fits_near() { Reach::Remote } else { Reach::Near }
     }
 }
 
--- a/crates/planner/src/placing.rs
+++ b/crates/planner/src/placing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use sapphire_jobs::task::{GroupKey, RunNumber, Task};
-use sapphire_plan::seat::{Ask, Seat};
+use sapphire_plan::assignment::{Assignment, Demand};
 
 use crate::{
     board::Board,
@@ -22,8 +22,8 @@
         board: &mut Board,
         id: &str,
         key: &GroupKey,
-        ask: &Ask,
-        seats: &[Seat],
+        ask: &Demand,
+        seats: &[Assignment],
     ) {
         let first = (self.startup.terms - 1) * options::RUNS_PER_TERM + 1;
         let Some(entry) = self.table.entries.get_mut(id) else { return };
@@ -71,7 +71,7 @@
         now: Moment,
         id: &str,
         key: &GroupKey,
-        ask: &Ask,
+        ask: &Demand,
         number: RunNumber,
         left: &Seats,
     ) {
@@ -79,19 +79,19 @@
             let (occurrence, step) = (key.occurrence, key.step);
             let task = Task { job: id.to_owned(), occurrence, step, index: *index };
             let Some(worker) = self.workers.get_mut(name) else { continue };
-            let run = Run::new(number, ask.room, worker::Phase::Ordered, 0, now.steady);
+            let run = Run::new(number, ask.resources, worker::Phase::Ordered, 0, now.steady);
             worker.runs.insert(task, run);
         }
     }
 }
 
 /// Takes the room of a group's tasks, which are numbered from `first`.
-fn take(board: &mut Board, first: u32, ask: &Ask, seats: &[Seat]) -> Seats {
+fn take(board: &mut Board, first: u32, ask: &Demand, seats: &[Assignment]) -> Seats {
     let mut left = BTreeMap::new();
     let mut bound = ask.bound.clone();
     let mut free = (0..ask.tasks).filter(|offset| !ask.bound.contains_key(offset));
     for seat in seats {
-        board.take_room(seat.place, ask.room.times(seat.tasks.into()));
+        board.take_room(seat.place, ask.resources.times(seat.tasks.into()));
         let place = &board.places[seat.place];
         for _ in 0..seat.tasks {
             let own = bound.iter().find(|(_, worker)| **worker == *place.worker);
@@ -105,7 +105,7 @@
 }
 
 /// Whether a group runs away from its data, or on several racks although it wants one.
-fn is_far(board: &Board, ask: &Ask, seats: &[Seat]) -> bool {
+fn is_far(board: &Board, ask: &Demand, seats: &[Assignment]) -> bool {
     let mut racks = seats.iter().map(|seat| &*board.places[seat.place].rack);
     let first = racks.clone().next();
     let is_scattered = ask.wants_one_rack && racks.clone().any(|rack| Some(rack) != first);
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -4,9 +4,9 @@
 
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
+    assignment::{Demand, Reach},
     clear,
     reserve::{Reservation, Running},
-    seat::{Ask, Reach},
 };
 
 use crate::{board::Board, event::Moment, group::Group, planner::Planner, table::Entry};
@@ -20,7 +20,7 @@
         &self,
         now: Moment,
         board: &mut Board,
-        ask: &Ask,
+        ask: &Demand,
         reach: Reach,
         guaranteed: &BTreeSet<JobId>,
     ) {
@@ -35,7 +35,7 @@
             if candidate.is_stopping { self.options.stop } else { candidate.remaining }
         };
         let running: Vec<Running<'_>> = (board.candidates.iter())
-            .map(|it| Running { remaining: remaining(it), seats: &it.victim.seats })
+            .map(|it| Running { remaining: remaining(it), released: &it.victim.released })
             .collect();
         let reservation = Reservation::new(&mut board.places, &running, ask, reach);
         board.reservations.push(reservation);
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -4,10 +4,9 @@
 
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
+    assignment::{Assignment, Demand, Reach},
     clear::{self, Choice},
-    rank,
-    seat::{Ask, Reach, Seat},
-    wait, waves,
+    rank, wait, waves,
 };
 
 use crate::{
@@ -32,7 +31,7 @@
     /// Its job.
     pub(crate) id: &'a str,
     pub(crate) key: &'a GroupKey,
-    pub(crate) ask: &'a Ask,
+    pub(crate) ask: &'a Demand,
     pub(crate) reach: Reach,
     /// Its job is within its organisation's guarantee.
     pub(crate) is_guaranteed: bool,
@@ -40,7 +39,7 @@
 
 impl Urgent<'_> {
     fn of_plan(&self) -> clear::Urgent<'_> {
-        clear::Urgent { ask: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
+        clear::Urgent { demand: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
     }
 }
 
@@ -119,9 +118,9 @@
         is_forced: bool,
     ) {
         let Urgent { id, key, ask, .. } = *urgent;
-        let Choice { wait, stops, seats, cost, .. } = choice;
-        let seat = |seat: &Seat| (board.places[seat.place].worker.to_string(), seat.tasks);
-        let seats = seats.iter().map(seat).collect();
+        let Choice { wait, stops, assignments, cost, .. } = choice;
+        let seat = |seat: &Assignment| (board.places[seat.place].worker.to_string(), seat.tasks);
+        let seats = assignments.iter().map(seat).collect();
         let until = now.steady + wait.max(self.options.stop) + SETTLING;
         let claim = Claim { until, seats };
         board.take_claim(&claim, ask);
--- a/crates/trace/src/baseline.rs
+++ b/crates/trace/src/baseline.rs
@@ -4,7 +4,7 @@
 
 use sapphire_plan::{
     fleet::Fleet,
-    place::{Outcome, Seat},
+    place::{Assignment, Outcome},
 };
 use sapphire_wire::{Adjacency, Job, Shape, id};
 
@@ -14,7 +14,7 @@
     shape: &Shape,
     is_wanted: impl Fn(&str) -> bool,
 ) -> Option<Outcome> {
-    let mut groups: BTreeMap<&str, Vec<Seat>> = BTreeMap::new();
+    let mut groups: BTreeMap<&str, Vec<Assignment>> = BTreeMap::new();
     for (name, worker) in &fleet.workers {
         if !is_wanted(name) || !worker.is_open {
             continue;
@@ -29,12 +29,12 @@
         let fit = worker.free().accelerators / shape.accelerators.max(1);
         let tasks = fit.min(shape.tasks - held);
         if tasks > 0 {
-            seats.push(Seat { worker: name.clone(), tasks });
+            seats.push(Assignment { worker: name.clone(), tasks });
         }
         if held + tasks == shape.tasks {
-            let seats = std::mem::take(seats);
+            let assignments = std::mem::take(seats);
             return Some(Outcome {
-                seats,
+                assignments,
                 group: group.to_owned(),
                 runner_up: String::new(),
                 broken: 0,
@@ -50,7 +50,7 @@
     /// Its shape.
     pub shape: &'a Shape,
     /// Where it is.
-    pub seats: &'a [Seat],
+    pub seats: &'a [Assignment],
     /// When it ends by its declared time.
     pub ends: Duration,
 }
@@ -69,7 +69,7 @@
 
 fn take(fleet: &mut Fleet, job: &Job, place: &Outcome) {
     let shape = job.shape.unwrap_or_default();
-    for seat in &place.seats {
+    for seat in &place.assignments {
         fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, false);
     }
 }
@@ -115,7 +115,7 @@
             fleet.give(&seat.worker, running.shape, seat.tasks);
         }
         if let Some(place) = first_fit(&fleet, shape, |_| true) {
-            let workers = place.seats.into_iter().map(|seat| seat.worker).collect();
+            let workers = place.assignments.into_iter().map(|seat| seat.worker).collect();
             return Some((running.ends.max(now), workers));
         }
     }
--- a/crates/trace/src/run.rs
+++ b/crates/trace/src/run.rs
@@ -12,7 +12,7 @@
     estimate::Estimates,
     fleet::Fleet,
     pass::{self, Mechanisms},
-    place::{self, Seat},
+    place::{self, Assignment},
     queue, reclaim,
 };
 use sapphire_wire::{Job, id, resource};
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct Live {
-    seats: Vec<Seat>,
+    seats: Vec<Assignment>,
     is_guaranteed: bool,
     started: Duration,
     ends: Duration,
@@ -233,7 +233,7 @@
                 pass::Running {
                     organisation: self.job(id).organisation.clone(),
                     shape: self.job(id).shape.unwrap_or_default(),
-                    seats: live.seats.clone(),
+                    assignments: live.seats.clone(),
                     is_guaranteed: live.is_guaranteed,
                     remaining: Estimates::remaining(expected, now.saturating_sub(live.started)),
                 }
@@ -272,9 +272,9 @@
         let shape = job.shape.unwrap_or_default();
         let mut begins = now + START;
         if is_guaranteed {
-            begins = begins.max(self.reclaim(now, &shape, &place.seats));
+            begins = begins.max(self.reclaim(now, &shape, &place.assignments));
         }
-        for seat in &place.seats {
+        for seat in &place.assignments {
             self.fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
         }
         self.waiting.retain(|waiting| waiting != id);
@@ -283,7 +283,7 @@
             self.note_guaranteed(id, begins);
         }
         let ends = begins + self.left[id];
-        let seats = place.seats;
+        let seats = place.assignments;
         let live = Live { seats, is_guaranteed, started: begins, ends, evicted_at: None };
         self.live.insert(id.clone(), live);
     }
@@ -297,7 +297,12 @@
         self.figures.worst_start = self.figures.worst_start.max(seconds(wait));
     }
 
-    fn reclaim(&mut self, now: Duration, shape: &sapphire_wire::Shape, seats: &[Seat]) -> Duration {
+    fn reclaim(
+        &mut self,
+        now: Duration,
+        shape: &sapphire_wire::Shape,
+        seats: &[Assignment],
+    ) -> Duration {
         let mut free_at = now;
         for seat in seats {
             // Gangs that wait here for an eviction under way have been given room already.
@@ -358,7 +363,7 @@
         fleet.workers.values_mut().for_each(|worker| worker.bound.clear());
         let mut served = 0;
         while let Some(place) = place::place(&fleet, &place::Options::borrowing("", &shape)) {
-            for seat in &place.seats {
+            for seat in &place.assignments {
                 fleet.take(&seat.worker, "", &shape, seat.tasks, false);
             }
             served += shape.accelerators * shape.tasks;
