--- a/crates/plan/src/assignment.rs
+++ b/crates/plan/src/assignment.rs
@@ -21,11 +21,11 @@
     /// Free resources.
     pub free: Resources,
     /// Resources that are not free yet, but are promised to groups that wait for their release.
-    pub owed: Resources,
+    pub promised: Resources,
     /// Total resources.
     pub capacity: Resources,
     /// How far the worker is to be avoided; 0 for a healthy worker.
-    pub doubt: u32,
+    pub suspicion: u32,
 }
 
 /// Requirements of a group.
@@ -103,7 +103,7 @@
         tasks = tasks.min(demand.per_worker.saturating_sub(present));
     }
     let is_avoided = demand.avoid.iter().any(|name| **name == *place.worker);
-    let suspicion = place.doubt + u32::from(is_avoided) * AVOIDED_SUSPICION;
+    let suspicion = place.suspicion + u32::from(is_avoided) * AVOIDED_SUSPICION;
     (has_label && tasks > 0).then_some(Candidate { index, place, tasks, suspicion })
 }
 
@@ -196,7 +196,7 @@
 /// run for seconds because long tasks have spread over all workers. The reserved workers stay
 /// available to work that loses nothing when it is stopped.
 pub fn without_reserved(places: &[Place], keep: usize) -> Vec<Place> {
-    let is_idle = |place: &Place| place.free == place.capacity && place.doubt == 0;
+    let is_idle = |place: &Place| place.free == place.capacity && place.suspicion == 0;
     let mut idle = places.iter().filter(|place| is_idle(place)).count();
     let mut unreserved = places.to_vec();
     for place in unreserved.iter_mut().filter(|place| is_idle(place)) {
--- a/crates/plan/src/evict.rs
+++ b/crates/plan/src/evict.rs
@@ -203,7 +203,7 @@
             }
         }
         for place in &mut self.places {
-            place.free = place.free.minus(place.owed);
+            place.free = place.free.minus(place.promised);
         }
         assignment::assign(&self.places, demand, reach)
     }
--- a/crates/plan/src/reserve.rs
+++ b/crates/plan/src/reserve.rs
@@ -61,7 +61,7 @@
             let needed = demand.resources.times(assignment.tasks.into());
             let remaining_free = place.free.minus(needed);
             reserved.insert(assignment.place, place.free.minus(remaining_free));
-            place.owed = place.owed.plus(needed.minus(place.free));
+            place.promised = place.promised.plus(needed.minus(place.free));
             place.free = remaining_free;
         }
         Reservation { wait: Duration::from_secs_f64(wait), reserved }
--- a/crates/plan/src/suspect.rs
+++ b/crates/plan/src/suspect.rs
@@ -22,13 +22,13 @@
 
 /// How far a worker is to be avoided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doubt {
+pub enum Suspicion {
     /// The worker is not suspect.
     None,
     /// The worker is used only if there is no other.
-    Last,
+    LastChoice,
     /// The worker is given no tasks.
-    Closed,
+    Excluded,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -93,7 +93,7 @@
 
     /// Records that a task on a worker was found to be stalled, as several checks in a row may do.
     /// The worker is the last choice for a short time after the last of them.
-    pub fn stands_still(&mut self, worker: &str, now: Duration) {
+    pub fn stalled(&mut self, worker: &str, now: Duration) {
         let record = self.workers.entry(worker.to_owned()).or_default();
         record.stalled_until = now + STALL_AVOIDANCE;
     }
@@ -115,11 +115,11 @@
     }
 
     /// How far a worker is to be avoided at the given time.
-    pub fn doubt(&self, worker: &str, now: Duration) -> Doubt {
+    pub fn suspicion(&self, worker: &str, now: Duration) -> Suspicion {
         match self.workers.get(worker) {
-            Some(it) if now < it.failed_until && it.failures >= EXCLUDE_AT => Doubt::Closed,
-            Some(it) if now < it.avoided_until() => Doubt::Last,
-            _ => Doubt::None,
+            Some(it) if now < it.failed_until && it.failures >= EXCLUDE_AT => Suspicion::Excluded,
+            Some(it) if now < it.avoided_until() => Suspicion::LastChoice,
+            _ => Suspicion::None,
         }
     }
 }
--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/board.rs
@@ -14,7 +14,7 @@
     assignment::{Demand, Place},
     clear, evict,
     reserve::Reservation,
-    suspect::Doubt,
+    suspect::Suspicion,
     wait,
 };
 
@@ -83,7 +83,7 @@
             if let Some(at) = self.index.get(name) {
                 let place = &mut self.places[*at];
                 let claimed = ask.resources.times((*tasks).into());
-                place.owed = place.owed.plus(claimed.minus(place.free));
+                place.promised = place.promised.plus(claimed.minus(place.free));
                 place.free = place.free.minus(claimed);
             }
         }
@@ -96,10 +96,10 @@
         let mut index = BTreeMap::new();
         for (name, worker) in &self.workers {
             let Some(minion) = &worker.incarnation else { continue };
-            let doubt = match self.doubt(name, now.steady) {
-                Doubt::None => 0,
-                Doubt::Last => 1,
-                Doubt::Closed => continue,
+            let suspicion = match self.doubt(name, now.steady) {
+                Suspicion::None => 0,
+                Suspicion::LastChoice => 1,
+                Suspicion::Excluded => continue,
             };
             let is_recorded = self.startup.is_recorded(name);
             if minion.service != service || !worker.is_open(now.steady) || !is_recorded {
@@ -111,9 +111,9 @@
                 rack: minion.rack.as_str().into(),
                 labels: minion.labels.as_slice().into(),
                 free: worker.capacity().minus(worker.used()),
-                owed: Resources::default(),
+                promised: Resources::default(),
                 capacity: worker.capacity(),
-                doubt,
+                suspicion,
             });
         }
         Board {
@@ -127,8 +127,12 @@
         }
     }
 
-    fn doubt(&self, name: &str, now: Duration) -> Doubt {
-        if self.options.policy.doubt_workers { self.suspects.doubt(name, now) } else { Doubt::None }
+    fn doubt(&self, name: &str, now: Duration) -> Suspicion {
+        if self.options.policy.doubt_workers {
+            self.suspects.suspicion(name, now)
+        } else {
+            Suspicion::None
+        }
     }
 
     /// Looks up what may be stopped on a board's workers, once.
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -243,7 +243,7 @@
         match fault {
             Fault::None => {}
             Fault::Still { is_hopeless } if policy.move_still => {
-                self.suspects.stands_still(name, now.steady);
+                self.suspects.stalled(name, now.steady);
                 if is_hopeless {
                     self.move_away(now, name, task, Cause::Still, "stands still");
                 }
