--- a/crates/entry/src/backoff.rs
+++ b/crates/entry/src/backoff.rs
@@ -58,12 +58,12 @@
 
     /// Workers that get nothing now.
     pub fn left_out(&self, now: Duration) -> Vec<id::Worker> {
-        self.workers.keys().chain(self.health.aside(now)).cloned().collect()
+        self.workers.keys().chain(self.health.quarantined(now)).cloned().collect()
     }
 
     /// Workers that fail every task they start.
     pub fn aside(&self, now: Duration) -> Vec<&id::Worker> {
-        self.health.aside(now).collect()
+        self.health.quarantined(now).collect()
     }
 
     /// Lets times pass; returns whether something may be tried again.
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -316,7 +316,7 @@
 fn admission(job: &Job) -> admit::Job {
     let chain = length::critical_path(&job.steps, length::declared);
     admit::Job {
-        rooms: job.steps.iter().map(|step| Resources::read(step.room.as_ref())).collect(),
+        task_resources: job.steps.iter().map(|step| Resources::read(step.room.as_ref())).collect(),
         priority: job.priority,
         objective: length::objective(job, chain),
     }
--- a/crates/plan/src/admit.rs
+++ b/crates/plan/src/admit.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Resources that one task of each step needs.
-    pub rooms: Vec<Resources>,
+    pub task_resources: Vec<Resources>,
     /// Priority. 0 is never rejected because of the load, since it goes before all others.
     pub priority: u32,
     /// Completion objective, computed from the declared run times.
@@ -62,7 +62,7 @@
 /// Decides whether a job is accepted. If nothing is known of the workers, it is.
 pub fn admit(job: &Job, supply: Option<&Supply>) -> Outcome {
     let Some(supply) = supply else { return Outcome::Accept };
-    if job.rooms.iter().any(|task| supply.largest.count_fitting(*task) == 0) {
+    if job.task_resources.iter().any(|task| supply.largest.count_fitting(*task) == 0) {
         return Outcome::TooLarge { after: TOO_LARGE_RETRY_AFTER };
     }
     let useful_time = job.objective * USEFUL_OBJECTIVES;
--- a/crates/plan/src/estimate.rs
+++ b/crates/plan/src/estimate.rs
@@ -33,7 +33,7 @@
 
 /// Run times that have been observed for tasks of one step.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct Sample {
     /// Median of the run times.
     pub median: Duration,
     /// Number of run times.
@@ -54,12 +54,12 @@
     /// Combines this estimate with the run times observed for other tasks of the same step, each
     /// weighted by the inverse of its variance.
     #[must_use]
-    pub fn with_siblings(self, seen: Option<Seen>) -> Estimate {
-        let Some(seen) = seen.filter(|seen| seen.count > 0) else { return self };
+    pub fn with_same_step(self, sample: Option<Sample>) -> Estimate {
+        let Some(sample) = sample.filter(|sample| sample.count > 0) else { return self };
         let prior_weight = self.spread.powi(-2);
-        let sample_weight = f64::from(seen.count) / SAME_STEP_SPREAD.powi(2);
+        let sample_weight = f64::from(sample.count) / SAME_STEP_SPREAD.powi(2);
         let prior = self.centre.max(MIN_ESTIMATE).as_secs_f64().ln();
-        let median = seen.median.max(MIN_ESTIMATE).as_secs_f64().ln();
+        let median = sample.median.max(MIN_ESTIMATE).as_secs_f64().ln();
         let centre =
             (prior * prior_weight + median * sample_weight) / (prior_weight + sample_weight);
         Estimate {
@@ -69,9 +69,9 @@
     }
 
     /// Estimate from the run times observed for other tasks of the same step alone.
-    pub fn of_siblings(seen: Seen) -> Estimate {
-        let spread = SAME_STEP_SPREAD * (1.0 + 1.0 / f64::from(seen.count.max(1))).sqrt();
-        Estimate { centre: seen.median, spread }
+    pub fn of_same_step(sample: Sample) -> Estimate {
+        let spread = SAME_STEP_SPREAD * (1.0 + 1.0 / f64::from(sample.count.max(1))).sqrt();
+        Estimate { centre: sample.median, spread }
     }
 }
 
--- a/crates/plan/src/health.rs
+++ b/crates/plan/src/health.rs
@@ -87,7 +87,7 @@
     }
 
     /// Workers that are in quarantine at the given time.
-    pub fn aside(&self, now: Duration) -> impl Iterator<Item = &id::Worker> {
+    pub fn quarantined(&self, now: Duration) -> impl Iterator<Item = &id::Worker> {
         let is_quarantined =
             move |record: &Record| record.quarantined_until.is_some_and(|until| now < until);
         self.workers.iter().filter(move |(_, record)| is_quarantined(record)).map(|(name, _)| name)
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The run is at the expected speed.
-    Sound,
+    Normal,
     /// The run is slow.
     Slow,
     /// The comparison does not decide.
@@ -51,7 +51,7 @@
     if ratio >= MIN_SLOW_RATIO && deviations >= SLOW_DEVIATIONS {
         Verdict::Slow
     } else if deviations <= NORMAL_DEVIATIONS && estimate.spread <= MAX_DECISIVE_SPREAD {
-        Verdict::Sound
+        Verdict::Normal
     } else {
         Verdict::Unknown
     }
@@ -96,7 +96,7 @@
 
 /// Time without progress after which a run counts as stalled, given its total run time at the best
 /// pace so far and its expected run time.
-pub fn still_after(best: Option<Duration>, expected: Duration) -> Duration {
+pub fn stall_timeout(best: Option<Duration>, expected: Duration) -> Duration {
     let own = best.map(|total_time| total_time.mul_f64(STALL_PERCENT / 100.0));
     MIN_STALL_TIMEOUT.max(own.unwrap_or_else(|| expected.mul_f64(STALL_SHARE)))
 }
@@ -136,7 +136,7 @@
     /// Records progress, which came after `gap` without any. A section in which the run was stalled
     /// is discarded, since it says nothing of the pace before or after.
     pub fn note(&mut self, now: Duration, percent: u32, gap: Duration) {
-        if self.best.is_some() && gap >= still_after(self.best, Duration::ZERO) {
+        if self.best.is_some() && gap >= stall_timeout(self.best, Duration::ZERO) {
             self.since = now;
             self.percent = percent;
             return;
--- a/crates/plan/src/rank.rs
+++ b/crates/plan/src/rank.rs
@@ -22,8 +22,8 @@
     pub remaining: Duration,
     /// Work of the job in processor seconds.
     pub work: f64,
-    /// Whether the job may compete with those of priority 1 when it is close to its deadline.
-    pub may_press: bool,
+    /// Whether the job competes with those of priority 1 when it is close to its deadline.
+    pub escalates: bool,
 }
 
 /// A job that takes longer than this many times its objective is of no use to its caller any more.
@@ -93,7 +93,7 @@
     let tier = match (job.priority, job.is_guaranteed, feasibility) {
         (0, true, _) => 0,
         (0, false, Feasibility::OnTime | Feasibility::Late) => 1,
-        (priority, _, Feasibility::OnTime) if priority > 1 && job.may_press && is_at_risk(job) => 3,
+        (priority, _, Feasibility::OnTime) if priority > 1 && job.escalates && is_at_risk(job) => 3,
         (priority, ..) => 2 + priority,
     };
     let end = job.age + job.remaining;
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -86,8 +86,8 @@
     assert_eq!(health.failed(second, "bad", "j1"), None, "the same job failing twice counts once");
     assert_eq!(health.failed(second, "bad", "j2"), None);
     assert_eq!(health.failed(second, "bad", "j3"), Some(second * 60));
-    assert_eq!(health.aside(second * 60).collect::<Vec<_>>(), ["bad"]);
-    assert_eq!(health.aside(second * 61).count(), 0);
+    assert_eq!(health.quarantined(second * 60).collect::<Vec<_>>(), ["bad"]);
+    assert_eq!(health.quarantined(second * 61).count(), 0);
     assert_eq!(health.failed(second * 70, "bad", "j4"), Some(second * 120));
     health.succeeded([String::from("bad")].iter());
     assert_eq!(health.failed(second * 300, "bad", "j5"), None);
@@ -102,7 +102,10 @@
         let worker = format!("w{}", job % 6);
         health.failed(Duration::from_secs(job), &worker, &format!("j{job}"));
     }
-    assert_eq!(health.aside(Duration::from_secs(200)).collect::<Vec<_>>(), Vec::<&String>::new());
+    assert_eq!(
+        health.quarantined(Duration::from_secs(200)).collect::<Vec<_>>(),
+        Vec::<&String>::new()
+    );
 }
 
 const RULES: &str = "organisation a weight=2 # x\norganisation b # x\n\
@@ -257,10 +260,10 @@
 /// to retry after, and urgent jobs are always accepted.
 #[test]
 fn jobs_that_would_complete_too_late_are_rejected_in_a_long_overload() {
-    let room = Resources { millicores: 5_600, memory_mib: 23_000, accelerators: 1 };
+    let resources = Resources { millicores: 5_600, memory_mib: 23_000, accelerators: 1 };
     let largest = Resources { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let objective = Duration::from_secs(33);
-    let batch = admit::Job { rooms: vec![room], priority: 2, objective };
+    let batch = admit::Job { task_resources: vec![resources], priority: 2, objective };
     let urgent = admit::Job { priority: 0, ..batch.clone() };
     let mut drain = Duration::ZERO;
     let mut rejections = Vec::new();
@@ -289,7 +292,7 @@
     let largest = Resources { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let supply = admit::Supply { largest, drain: Duration::ZERO };
     let job = |accelerators| admit::Job {
-        rooms: vec![Resources { millicores: 1_000, memory_mib: 1_000, accelerators }],
+        task_resources: vec![Resources { millicores: 1_000, memory_mib: 1_000, accelerators }],
         priority: 0,
         objective: Duration::from_secs(10),
     };
@@ -337,11 +340,11 @@
     let kind = estimate::Kind { name: "q", size: 0 };
     let declared = kinds.estimate_kind(kind, secs(1.0));
     assert_ne!(pace::compare(secs(8.0), &[declared]), pace::Verdict::Slow);
-    let seen = estimate::Seen { median: secs(8.0), count: 3 };
-    let siblings = estimate::Estimate::of_siblings(seen);
-    assert_eq!(pace::compare(secs(8.4), &[declared, siblings]), pace::Verdict::Sound);
-    assert_eq!(pace::compare(secs(32.0), &[declared, siblings]), pace::Verdict::Slow);
-    let later = declared.with_siblings(Some(seen));
+    let sample = estimate::Sample { median: secs(8.0), count: 3 };
+    let same_step = estimate::Estimate::of_same_step(sample);
+    assert_eq!(pace::compare(secs(8.4), &[declared, same_step]), pace::Verdict::Normal);
+    assert_eq!(pace::compare(secs(32.0), &[declared, same_step]), pace::Verdict::Slow);
+    let later = declared.with_same_step(Some(sample));
     assert!(later.centre > secs(6.0) && later.spread < declared.spread / 2.0, "{later:?}");
 }
 
@@ -362,7 +365,7 @@
         let whole = track.present(ms(time), percent).expect("the section is long enough");
         pace::compare(whole, &[own])
     };
-    assert_eq!(verdict(3_200, 40), pace::Verdict::Sound);
+    assert_eq!(verdict(3_200, 40), pace::Verdict::Normal);
     assert_eq!(verdict(3_800, 29), pace::Verdict::Slow, "six times slower");
 }
 
@@ -401,9 +404,9 @@
     assert!(!pace::is_worth_restarting(secs(5), secs(9)));
     assert!(pace::is_worth_restarting(secs(9), secs(9)));
     assert!(pace::is_worth_restarting(secs(2), secs(1)));
-    let long = pace::still_after(Some(secs(20)), secs(20));
+    let long = pace::stall_timeout(Some(secs(20)), secs(20));
     assert_eq!(long, secs(2), "each per cent of the run takes a fifth of a second");
-    assert_eq!(pace::still_after(None, secs(20)), secs(5));
+    assert_eq!(pace::stall_timeout(None, secs(20)), secs(5));
     // When the run goes on, the time in which it was stalled does not make it look slow.
     let ms = Duration::from_millis;
     let mut track = pace::Track::new(ms(0), 1);
@@ -416,7 +419,7 @@
         centre: track.best().expect("a section is complete"),
         spread: pace::SAME_TASK,
     };
-    assert_eq!(pace::compare(whole, &[own]), pace::Verdict::Sound);
+    assert_eq!(pace::compare(whole, &[own]), pace::Verdict::Normal);
 }
 
 /// Two workers are full: the task on one ends by itself in a second, the other is cheap to stop. An
@@ -459,12 +462,12 @@
 }
 
 fn place(worker: &str, rack: &str, capacity: u64, free: u64) -> assignment::Place {
-    let room = |accelerators| Resources { millicores: 1_000, memory_mib: 1_000, accelerators };
+    let resources = |accelerators| Resources { millicores: 1_000, memory_mib: 1_000, accelerators };
     assignment::Place {
         worker: worker.into(),
         rack: rack.into(),
-        capacity: room(capacity),
-        free: if free == 0 { Resources::default() } else { room(free) },
+        capacity: resources(capacity),
+        free: if free == 0 { Resources::default() } else { resources(free) },
         ..assignment::Place::default()
     }
 }
@@ -498,24 +501,24 @@
 /// others.
 #[test]
 fn each_rack_is_searched_independently_of_the_others() {
-    let room = |accelerators| Resources { millicores: 0, memory_mib: 0, accelerators };
+    let resources = |accelerators| Resources { millicores: 0, memory_mib: 0, accelerators };
     let places: Vec<assignment::Place> = (0..6)
         .map(|at| assignment::Place {
             worker: format!("w{at}").into(),
             rack: format!("r{}", at / 2).into(),
-            capacity: room(8),
+            capacity: resources(8),
             ..assignment::Place::default()
         })
         .collect();
     let victims: Vec<evict::Victim> = (0..24)
         .map(|at: usize| evict::Victim {
             cost: ((at * 7) % 24) as f64,
-            released: vec![(at % 6, room(2))],
+            released: vec![(at % 6, resources(2))],
         })
         .collect();
     let demand = assignment::Demand {
         tasks: 2,
-        resources: room(6),
+        resources: resources(6),
         wants_one_rack: true,
         ..assignment::Demand::default()
     };
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -141,7 +141,7 @@
             objective: self.objective(entry),
             remaining: entry.remaining(|step| self.expect(entry, step)),
             work: sapphire_jobs::length::work(&entry.job.steps),
-            may_press: self.options.policy.prefer_pressing,
+            escalates: self.options.policy.prefer_pressing,
         }
     }
 
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -223,7 +223,7 @@
             Estimate::declared(declared)
         };
         let seen = entry.seen.get(index as usize).copied().flatten();
-        of_kind.with_siblings(seen.filter(|_| policy.learn_siblings))
+        of_kind.with_same_step(seen.filter(|_| policy.learn_siblings))
     }
 
     /// Time within which a job's caller wants it.
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -11,7 +11,7 @@
     task::{GroupKey, JobId, Task},
 };
 use sapphire_plan::{
-    estimate::Seen,
+    estimate::Sample,
     waves::{self, Width},
 };
 
@@ -77,7 +77,7 @@
     /// Tasks of each step that its service's workers hold together; 0 while that isn't known.
     pub fits: Vec<u64>,
     /// How long the tasks of each step take, as those that ran or run have shown.
-    pub seen: Vec<Option<Seen>>,
+    pub seen: Vec<Option<Sample>>,
 }
 
 impl Entry {
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -10,7 +10,7 @@
     task::{GroupKey, Task, WorkerName},
 };
 use sapphire_plan::{
-    estimate::{Estimate, Seen},
+    estimate::{Estimate, Sample},
     pace::{self, Verdict},
 };
 
@@ -62,7 +62,7 @@
         }
         self.last_watch = now.steady;
         let times = self.times();
-        let seen: Vec<(String, u32, Seen)> = (times.iter())
+        let seen: Vec<(String, u32, Sample)> = (times.iter())
             .filter_map(|((job, step), times)| Some(((*job).to_owned(), *step, seen(times, None)?)))
             .collect();
         let faults = self.faults(now, &times);
@@ -118,7 +118,7 @@
     }
 
     /// Replaces what was seen of the steps of open jobs.
-    fn note_seen(&mut self, seen: Vec<(String, u32, Seen)>) {
+    fn note_seen(&mut self, seen: Vec<(String, u32, Sample)>) {
         for id in &self.table.open {
             let Some(entry) = self.table.entries.get_mut(id) else { continue };
             entry.seen.clear();
@@ -181,7 +181,7 @@
         let own = track.best().map(|best| same_task(best / factor));
         match pace::judge(whole, own, &others) {
             (Verdict::Unknown, _) => None,
-            (Verdict::Sound, _) => Some(Fault::None),
+            (Verdict::Normal, _) => Some(Fault::None),
             (Verdict::Slow, expected) => {
                 let left = 1.0 - f64::from(run.percent.min(100)) / 100.0;
                 let here = (whole * factor).mul_f64(left);
@@ -227,7 +227,7 @@
             earlier.map(|shown| same_task(shown.whole)).into_iter().collect();
         let of_step = times.get(&(task.job.as_str(), task.step)).filter(|_| !step.is_gang);
         if let Some(seen) = of_step.and_then(|times| seen(times, Some(name))) {
-            others.push(Estimate::of_siblings(seen));
+            others.push(Estimate::of_same_step(seen));
         }
         let kind = estimate_kind(entry, step);
         if self.estimates.knows_kind(kind) {
@@ -297,7 +297,7 @@
 
 /// The median of a step's times, without those of one worker. Several on one worker count as one,
 /// the shortest: a slow worker would outweigh the others.
-fn seen(times: &[Time<'_>], without: Option<&str>) -> Option<Seen> {
+fn seen(times: &[Time<'_>], without: Option<&str>) -> Option<Sample> {
     let mut by_worker: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut all: Vec<Duration> = Vec::new();
     for time in times.iter().filter(|time| time.worker.is_none() || time.worker != without) {
@@ -312,11 +312,11 @@
     all.extend(by_worker.into_values());
     all.sort_unstable();
     let median = *all.get(all.len().checked_sub(1)? / 2)?;
-    Some(Seen { median, count: u32::try_from(all.len()).unwrap_or(u32::MAX) })
+    Some(Sample { median, count: u32::try_from(all.len()).unwrap_or(u32::MAX) })
 }
 
 /// Whether a run that should have made progress since a time has made none.
 fn is_still(run: &Run, since: Duration, now: Duration, expected: Duration) -> bool {
-    let limit = pace::still_after(run.track.and_then(|track| track.best()), expected);
+    let limit = pace::stall_timeout(run.track.and_then(|track| track.best()), expected);
     run.still >= STILL_LISTS && now > since + limit
 }
