--- a/crates/entry/src/bindings.rs
+++ b/crates/entry/src/bindings.rs
@@ -14,7 +14,7 @@
 pub struct Bindings {
     bindings: Vec<Binding>,
     version: u64,
-    short: Vec<bind::Short>,
+    short: Vec<bind::Shortfall>,
     made_for: Option<(id::Revision, Vec<id::Worker>)>,
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// Guarantees that the workers at hand can't hold.
-    pub fn short(&self) -> &[bind::Short] {
+    pub fn short(&self) -> &[bind::Shortfall] {
         &self.short
     }
 
@@ -74,8 +74,8 @@
         let guarantees = around.rules.guarantees().filter(|(_, guarantee)| is_here(guarantee));
         let guarantees = guarantees.collect();
         let outcome = bind::bind(&bind::Options { guarantees, fleet, previous: &self.bindings });
-        outcome.short.iter().for_each(|short| log_short(short, out));
-        self.short = outcome.short;
+        outcome.shortfalls.iter().for_each(|short| log_short(short, out));
+        self.short = outcome.shortfalls;
         let has_changed = outcome.bindings != self.bindings;
         if has_changed {
             self.bindings = outcome.bindings;
@@ -116,7 +116,7 @@
     }
 }
 
-fn log_short(short: &bind::Short, out: &mut Output) {
+fn log_short(short: &bind::Shortfall, out: &mut Output) {
     out.log(
         PART,
         format!(
--- a/crates/entry/src/overview.rs
+++ b/crates/entry/src/overview.rs
@@ -34,7 +34,7 @@
 
 impl Overview<'_> {
     /// Guarantees of a file that the workers known can't hold, all regions together.
-    fn short(&self, file: &file::File) -> Vec<bind::Short> {
+    fn short(&self, file: &file::File) -> Vec<bind::Shortfall> {
         let mut fleet = fleet::Fleet::default();
         let agents = self.registry.agents().values();
         let regions: BTreeSet<&str> = agents.map(|agent| agent.region.as_str()).collect();
@@ -44,7 +44,7 @@
             fleet.workers.extend(part.workers);
         }
         let guarantees = file.guarantees().collect();
-        bind::bind(&bind::Options { guarantees, fleet: &fleet, previous: &[] }).short
+        bind::bind(&bind::Options { guarantees, fleet: &fleet, previous: &[] }).shortfalls
     }
 
     /// The answer to a file with guarantees that the workers known can't hold, if it has any.
@@ -219,7 +219,7 @@
         Answer::json(200, &json!({ "organisations": organisations.collect::<Vec<_>>() }))
     }
 }
-fn short_json(short: &bind::Short) -> serde_json::Value {
+fn short_json(short: &bind::Shortfall) -> serde_json::Value {
     json!({
         "line": short.line,
         "column": 1,
--- a/crates/entry/src/planner/mod.rs
+++ b/crates/entry/src/planner/mod.rs
@@ -168,7 +168,7 @@
     }
 
     /// Guarantees that the workers at hand can't hold.
-    pub fn short(&self) -> &[bind::Short] {
+    pub fn short(&self) -> &[bind::Shortfall] {
         self.bindings.short()
     }
 
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -28,7 +28,7 @@
             for seat in attempt.seats.values().filter(|seat| seat.settled.is_none()) {
                 let tasks = seat.placement.tasks;
                 let own = attempt.is_guaranteed;
-                fleet.take(&seat.worker, &job.organisation, &shape, tasks, own);
+                fleet.allocate(&seat.worker, &job.organisation, &shape, tasks, own);
             }
         }
         fleet
--- a/crates/entry/src/requests.rs
+++ b/crates/entry/src/requests.rs
@@ -163,7 +163,7 @@
         } else if agent.region == self.options.region {
             Distance::Region
         } else {
-            Distance::Far
+            Distance::Remote
         }
     }
 
--- a/crates/plan/src/bind.rs
+++ b/crates/plan/src/bind.rs
@@ -23,7 +23,7 @@
 
 /// A guarantee for which there are not enough workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Short {
+pub struct Shortfall {
     /// Line number of the guarantee in the rule file.
     pub line: usize,
     /// Organisation that the guarantee belongs to.
@@ -40,7 +40,7 @@
     /// Bindings, one for each pair of worker and organisation.
     pub bindings: Vec<Binding>,
     /// Guarantees that could not be bound completely.
-    pub short: Vec<Short>,
+    pub shortfalls: Vec<Shortfall>,
 }
 
 /// Binds the gangs of all guarantees to workers, the most demanding guarantees first. A gang keeps
@@ -48,20 +48,20 @@
 pub fn bind(options: &Options<'_>) -> Outcome {
     let mut unbound = empty_fleet(options.fleet);
     let mut bound: BTreeMap<(id::Worker, id::Organisation), u32> = BTreeMap::new();
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     let mut guarantees = options.guarantees.clone();
     guarantees.sort_by_key(|(line, guarantee)| (demand_order(guarantee), *line));
     for (line, guarantee) in guarantees {
         let mut missing = 0;
         for _ in 0..guarantee.count {
             match bind_one(&unbound, guarantee, options.previous, &bound) {
-                Some(assignments) => take(&mut unbound, &mut bound, guarantee, &assignments),
+                Some(assignments) => record(&mut unbound, &mut bound, guarantee, &assignments),
                 None => missing += 1,
             }
         }
         if missing > 0 {
             let organisation = guarantee.organisation.clone();
-            short.push(Short { line, organisation, shape: describe(guarantee), missing });
+            shortfalls.push(Shortfall { line, organisation, shape: describe(guarantee), missing });
         }
     }
     let bindings = bound.into_iter().map(|((worker, organisation), accelerators)| Binding {
@@ -69,8 +69,8 @@
         worker,
         accelerators,
     });
-    short.sort_by_key(|short| short.line);
-    Outcome { bindings: bindings.collect(), short }
+    shortfalls.sort_by_key(|shortfall| shortfall.line);
+    Outcome { bindings: bindings.collect(), shortfalls }
 }
 
 /// Sort key by which the most demanding guarantees come first: those with the closest adjacency,
@@ -157,7 +157,7 @@
 }
 
 /// Records the binding of one gang, so that the next gang does not get the same resources.
-fn take(
+fn record(
     unbound: &mut Fleet,
     bound: &mut BTreeMap<(id::Worker, id::Organisation), u32>,
     guarantee: &rule::Guarantee,
@@ -165,7 +165,13 @@
 ) {
     let shape = shape(guarantee);
     for assignment in assignments {
-        unbound.take(&assignment.worker, &guarantee.organisation, &shape, assignment.tasks, false);
+        unbound.allocate(
+            &assignment.worker,
+            &guarantee.organisation,
+            &shape,
+            assignment.tasks,
+            false,
+        );
         let key = (assignment.worker.clone(), guarantee.organisation.clone());
         *bound.entry(key).or_default() += guarantee.accelerators * assignment.tasks;
     }
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -55,7 +55,7 @@
 impl Fleet {
     /// Marks the resources of some tasks of a gang as used. `own` is set for a gang that runs on its
     /// organisation's guarantee.
-    pub fn take(
+    pub fn allocate(
         &mut self,
         worker: &str,
         organisation: &str,
@@ -72,7 +72,7 @@
     }
 
     /// Marks the resources of some tasks of a gang as free, as if they had ended.
-    pub fn give(&mut self, worker: &str, shape: &Shape, tasks: u32) {
+    pub fn release(&mut self, worker: &str, shape: &Shape, tasks: u32) {
         let Some(worker) = self.workers.get_mut(worker) else { return };
         worker.used = worker.used.minus(&resource::Amount::of_tasks(shape, tasks));
     }
--- a/crates/plan/src/pass.rs
+++ b/crates/plan/src/pass.rs
@@ -55,7 +55,7 @@
     /// Reservation of resources for large gangs that wait.
     pub has_reservation: bool,
     /// Protection of blocks, which are free resources for the largest guaranteed shape.
-    pub has_sparing: bool,
+    pub has_block_protection: bool,
     /// Guarantees, and the reclaim of what others borrow of them.
     pub has_guarantees: bool,
 }
@@ -65,7 +65,7 @@
         Mechanisms {
             has_order: true,
             has_reservation: true,
-            has_sparing: true,
+            has_block_protection: true,
             has_guarantees: true,
         }
     }
@@ -167,7 +167,7 @@
     }
     let outcome = Outcome::default();
     let block_shape =
-        largest_guaranteed_shape(options.rules).filter(|_| options.mechanisms.has_sparing);
+        largest_guaranteed_shape(options.rules).filter(|_| options.mechanisms.has_block_protection);
     let preference = Preference::new(&options.rules.balance());
     let mut pass =
         Pass { options, preference, block_shape, borrowed, reservations: Vec::new(), outcome };
@@ -234,7 +234,7 @@
         let avoid = self.options.avoid;
         let block_shape = self.block_shape;
         let guaranteed = place::Options::guaranteed(&job.organisation, &shape);
-        let options = place::Options { avoid, spare: block_shape.as_ref(), ..guaranteed };
+        let options = place::Options { avoid, block_shape: block_shape.as_ref(), ..guaranteed };
         let Some(place) = place::place(&self.options.fleet, &options) else { return false };
         self.start(job, place, true);
         true
@@ -245,7 +245,7 @@
         let shape = job.shape.unwrap_or_default();
         for assignment in &place.assignments {
             let fleet = &mut self.options.fleet;
-            fleet.take(
+            fleet.allocate(
                 &assignment.worker,
                 &job.organisation,
                 &shape,
@@ -293,7 +293,8 @@
         }
         let block_shape = self.block_shape;
         let borrowing = place::Options::borrowing(&job.organisation, &shape);
-        let options = place::Options { avoid: &avoid, spare: block_shape.as_ref(), ..borrowing };
+        let options =
+            place::Options { avoid: &avoid, block_shape: block_shape.as_ref(), ..borrowing };
         let Some(place) = place::place(&self.options.fleet, &options) else { return false };
         if self.must_protect_block(waiting, &place) {
             return false;
@@ -355,7 +356,7 @@
         let options = place::Options { avoid: &avoid, ..borrowing };
         for running in ends {
             for assignment in &running.assignments {
-                fleet.give(&assignment.worker, &running.shape, assignment.tasks);
+                fleet.release(&assignment.worker, &running.shape, assignment.tasks);
             }
             if let Some(place) = place::place(&fleet, &options) {
                 let workers =
--- a/crates/plan/src/place.rs
+++ b/crates/plan/src/place.rs
@@ -21,18 +21,18 @@
     /// Workers that must not be used.
     pub avoid: &'a [id::Worker],
     /// Shape of the blocks to protect: the largest guaranteed shape.
-    pub spare: Option<&'a Shape>,
+    pub block_shape: Option<&'a Shape>,
 }
 
 impl<'a> Options<'a> {
     /// Options for a gang that uses only free accelerators.
     pub fn borrowing(organisation: &'a str, shape: &'a Shape) -> Self {
-        Options { organisation, shape, is_guaranteed: false, avoid: &[], spare: None }
+        Options { organisation, shape, is_guaranteed: false, avoid: &[], block_shape: None }
     }
 
     /// Options for a gang that runs on its organisation's guarantee.
     pub fn guaranteed(organisation: &'a str, shape: &'a Shape) -> Self {
-        Options { organisation, shape, is_guaranteed: true, avoid: &[], spare: None }
+        Options { organisation, shape, is_guaranteed: true, avoid: &[], block_shape: None }
     }
 }
 
@@ -73,7 +73,7 @@
 /// fit is chosen: fewest blocks broken, then least use of accelerators that are bound to guarantees,
 /// then fewest idle workers used in part, fewest racks, and fewest accelerators left free.
 pub fn place(fleet: &Fleet, options: &Options<'_>) -> Option<Outcome> {
-    let blocks = options.spare.map(|spare| Blocks::new(fleet, spare));
+    let blocks = options.block_shape.map(|shape| Blocks::new(fleet, shape));
     let mut candidates: Vec<Candidate<'_>> = fleet
         .workers
         .iter()
@@ -184,36 +184,36 @@
 
 /// The free blocks of each rack.
 struct Blocks<'a> {
-    spare: &'a Shape,
+    shape: &'a Shape,
     /// Number of tasks of the shape that fit into each rack, by zone and rack.
     tasks: BTreeMap<(&'a str, &'a str), u32>,
 }
 
 impl<'a> Blocks<'a> {
-    fn new(fleet: &'a Fleet, spare: &'a Shape) -> Self {
+    fn new(fleet: &'a Fleet, shape: &'a Shape) -> Self {
         let mut tasks = BTreeMap::new();
         for worker in fleet.workers.values().filter(|worker| worker.is_open) {
             let rack = (worker.zone.as_str(), worker.rack.as_str());
-            *tasks.entry(rack).or_default() += tasks_free(worker, 0, spare);
+            *tasks.entry(rack).or_default() += tasks_free(worker, 0, shape);
         }
-        Blocks { spare, tasks }
+        Blocks { shape, tasks }
     }
 
     /// Number of free blocks in all racks.
     fn count(&self) -> u32 {
-        self.tasks.values().map(|tasks| tasks / self.spare.tasks.max(1)).sum()
+        self.tasks.values().map(|tasks| tasks / self.shape.tasks.max(1)).sum()
     }
 
     /// Number of blocks that are broken if the given numbers of accelerators are taken on workers.
     fn broken(&self, assignments: &[(&Worker, u32)]) -> u32 {
         let mut lost: BTreeMap<(&str, &str), u32> = BTreeMap::new();
         for (worker, accelerators) in assignments {
-            let before = tasks_free(worker, 0, self.spare);
-            let after = tasks_free(worker, *accelerators, self.spare);
+            let before = tasks_free(worker, 0, self.shape);
+            let after = tasks_free(worker, *accelerators, self.shape);
             let rack = (worker.zone.as_str(), worker.rack.as_str());
             *lost.entry(rack).or_default() += before - after;
         }
-        let gangs = |tasks: u32| tasks / self.spare.tasks.max(1);
+        let gangs = |tasks: u32| tasks / self.shape.tasks.max(1);
         lost.iter()
             .map(|(rack, lost)| {
                 let before = self.tasks.get(rack).copied().unwrap_or(0);
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -186,7 +186,7 @@
                 start.place.assignments.len() == 1 || shape.adjacency() != Adjacency::Worker
             );
             for assignment in &start.place.assignments {
-                fleet.take(
+                fleet.allocate(
                     &assignment.worker,
                     &job.organisation,
                     &shape,
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -40,7 +40,7 @@
 #[test]
 fn a_small_job_is_placed_on_the_worker_with_the_least_left_free() {
     let mut fleet = workers(2);
-    fleet.take("w1", "o", &shape(6, 1, Adjacency::Worker), 1, false);
+    fleet.allocate("w1", "o", &shape(6, 1, Adjacency::Worker), 1, false);
     let small = shape(2, 1, Adjacency::Worker);
     let outcome = place::place(&fleet, &place::Options::borrowing("o", &small));
     assert_eq!(outcome.expect("it fits").group, "w1");
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -24,7 +24,7 @@
     /// Same region, but another availability zone.
     Region,
     /// Another region: slower, and traffic is charged by volume.
-    Far,
+    Remote,
 }
 
 /// Result of a choice.
@@ -46,8 +46,8 @@
 /// one with more free places is chosen (the power of two choices).
 pub fn choose(candidates: &[Candidate], rng: &mut impl Rng) -> Option<Outcome> {
     let rank = |candidate: &Candidate| {
-        let is_far = candidate.distance == Distance::Far;
-        (is_far, candidate.free_slots == 0, candidate.distance)
+        let is_remote = candidate.distance == Distance::Remote;
+        (is_remote, candidate.free_slots == 0, candidate.distance)
     };
     let available = || candidates.iter().filter(|candidate| candidate.free_places > 0);
     let best = available().map(rank).min()?;
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -13,11 +13,11 @@
 #[test]
 fn the_nearest_minion_with_a_free_slot_is_chosen() {
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
-    let far = candidate("far", 8, Distance::Far);
+    let remote = candidate("remote", 8, Distance::Remote);
     let full = candidate("full", 0, Distance::Zone);
     let near = candidate("near", 1, Distance::Region);
     for _ in 0..20 {
-        let outcome = choose::choose(&[far.clone(), full.clone(), near.clone()], &mut rng);
+        let outcome = choose::choose(&[remote.clone(), full.clone(), near.clone()], &mut rng);
         assert_eq!(outcome.expect("two have free places").agent, "near");
     }
     assert_eq!(choose::choose(&[full], &mut rng), None);
@@ -28,10 +28,10 @@
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
     let busy = Candidate { free_places: 8, ..candidate("busy", 0, Distance::Zone) };
     let free = candidate("free", 1, Distance::Region);
-    let far = candidate("far", 8, Distance::Far);
-    let outcome = choose::choose(&[busy.clone(), free, far.clone()], &mut rng);
+    let remote = candidate("remote", 8, Distance::Remote);
+    let outcome = choose::choose(&[busy.clone(), free, remote.clone()], &mut rng);
     assert_eq!(outcome.expect("three have free places").agent, "free");
-    let outcome = choose::choose(&[busy, far], &mut rng);
+    let outcome = choose::choose(&[busy, remote], &mut rng);
     assert_eq!(outcome.expect("two have free places").agent, "busy");
 }
 
--- a/crates/trace/examples/policy.rs
+++ b/crates/trace/examples/policy.rs
@@ -75,7 +75,7 @@
         policies.extend([
             ("no order", Policy::Pass(Mechanisms { has_order: false, ..on })),
             ("no reservation", Policy::Pass(Mechanisms { has_reservation: false, ..on })),
-            ("no sparing", Policy::Pass(Mechanisms { has_sparing: false, ..on })),
+            ("no sparing", Policy::Pass(Mechanisms { has_block_protection: false, ..on })),
             ("no guarantees", Policy::Pass(Mechanisms { has_guarantees: false, ..on })),
         ]);
     }
--- a/crates/trace/examples/scale.rs
+++ b/crates/trace/examples/scale.rs
@@ -27,7 +27,7 @@
         let taken = if rng.random::<f64>() < 0.8 { 8 } else { rng.random_range(0..8) };
         let adjacency = Adjacency::Worker as i32;
         let shape = Shape { accelerators: taken, tasks: 1, adjacency, ..Shape::default() };
-        fleet.take(&name, "o", &shape, 1, false);
+        fleet.allocate(&name, "o", &shape, 1, false);
     }
 }
 
@@ -35,7 +35,7 @@
     let mut micros: Vec<f64> = (0..DECISIONS)
         .map(|_| {
             let borrowing = place::Options::borrowing("o", shape);
-            let options = place::Options { spare: Some(spare), ..borrowing };
+            let options = place::Options { block_shape: Some(spare), ..borrowing };
             let begin = Instant::now();
             std::hint::black_box(place::place(fleet, &options));
             begin.elapsed().as_secs_f64() * 1e6
--- a/crates/trace/src/baseline.rs
+++ b/crates/trace/src/baseline.rs
@@ -70,7 +70,7 @@
 fn take(fleet: &mut Fleet, job: &Job, place: &Outcome) {
     let shape = job.shape.unwrap_or_default();
     for seat in &place.assignments {
-        fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, false);
+        fleet.allocate(&seat.worker, &job.organisation, &shape, seat.tasks, false);
     }
 }
 
@@ -112,7 +112,7 @@
     ends.sort_by_key(|running| running.ends.max(now));
     for running in ends {
         for seat in running.seats {
-            fleet.give(&seat.worker, running.shape, seat.tasks);
+            fleet.release(&seat.worker, running.shape, seat.tasks);
         }
         if let Some(place) = first_fit(&fleet, shape, |_| true) {
             let workers = place.assignments.into_iter().map(|seat| seat.worker).collect();
--- a/crates/trace/src/run.rs
+++ b/crates/trace/src/run.rs
@@ -174,7 +174,7 @@
         let job = self.arrivals[id].job.clone();
         let shape = job.shape.unwrap_or_default();
         for seat in &live.seats {
-            self.fleet.give(&seat.worker, &shape, seat.tasks);
+            self.fleet.release(&seat.worker, &shape, seat.tasks);
             if live.is_guaranteed {
                 let worker = self.fleet.workers.get_mut(&seat.worker).expect("it ran there");
                 let own = worker.guaranteed.entry(job.organisation.clone()).or_default();
@@ -275,7 +275,7 @@
             begins = begins.max(self.reclaim(now, &shape, &place.assignments));
         }
         for seat in &place.assignments {
-            self.fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
+            self.fleet.allocate(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
         }
         self.waiting.retain(|waiting| waiting != id);
         self.first_start.entry(id.clone()).or_insert(begins);
@@ -364,7 +364,7 @@
         let mut served = 0;
         while let Some(place) = place::place(&fleet, &place::Options::borrowing("", &shape)) {
             for seat in &place.assignments {
-                fleet.take(&seat.worker, "", &shape, seat.tasks, false);
+                fleet.allocate(&seat.worker, "", &shape, seat.tasks, false);
             }
             served += shape.accelerators * shape.tasks;
         }
