--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sapphire_plan::{fleet, place, queue};
+use sapphire_plan::{fleet, place, size};
 use sapphire_rules::file;
 use sapphire_wire::{Job, JobState};
 
@@ -78,7 +78,7 @@
     let quota = options.rules.quota(&job.organisation).unwrap_or(u32::MAX);
     let guaranteed = place::Options::guaranteed(&job.organisation, &shape);
     let is_guaranteed = || place::place(options.fleet, &guaranteed).is_some();
-    if queue::accelerators(job) > quota && !is_guaranteed() {
+    if size::accelerators(job) > quota && !is_guaranteed() {
         let reason = format!("larger than its organisation's guarantee and quota of {quota}");
         return Err(never(reason));
     }
--- a/crates/plan/src/estimate.rs
+++ b/crates/plan/src/estimate.rs
@@ -154,7 +154,7 @@
 }
 
 fn kind_of(job: &Job) -> Kind<'_> {
-    let accelerators = crate::queue::accelerators(job).max(1);
+    let accelerators = crate::size::accelerators(job).max(1);
     Kind { name: &job.organisation, size: accelerators.ilog2() }
 }
 
--- a/crates/plan/src/pass.rs
+++ b/crates/plan/src/pass.rs
@@ -13,7 +13,7 @@
     bind,
     fleet::Fleet,
     place::{self, Assignment},
-    queue,
+    size,
 };
 
 /// Waiting time in seconds after which a job's score is a quarter of its initial value.
@@ -217,7 +217,7 @@
         let priority = organisation.map_or(0, |organisation| organisation.priority);
         let borrows = self.borrowed.get(&job.organisation).copied().unwrap_or(0);
         let time = waiting.expected.as_secs_f64().powf(self.preference.time);
-        let size = f64::from(queue::accelerators(job)).powf(self.preference.size);
+        let size = f64::from(size::accelerators(job)).powf(self.preference.size);
         let share = (1.0 + f64::from(borrows)) / f64::from(weight);
         let age = 1.0 + waiting.waited.as_secs_f64() / AGEING_SECONDS;
         time * size * share.sqrt() / (age * age * (1.0 + f64::from(priority)))
@@ -254,7 +254,7 @@
             );
         }
         if !is_guaranteed {
-            let accelerators = queue::accelerators(job);
+            let accelerators = size::accelerators(job);
             *self.borrowed.entry(job.organisation.clone()).or_default() += accelerators;
         }
         self.outcome.starts.push(Start { job: job.id.clone(), place, is_guaranteed });
@@ -266,14 +266,14 @@
         let own =
             self.options.rules.guarantees().filter(|(_, g)| g.organisation == job.organisation);
         let largest = own.map(|(_, guarantee)| guarantee.accelerators * guarantee.tasks).max();
-        largest.is_some_and(|largest| queue::accelerators(job) < largest)
+        largest.is_some_and(|largest| size::accelerators(job) < largest)
     }
 
     /// Reason why a job may not borrow, if its organisation would exceed its quota.
     fn borrows_beyond_quota(&self, job: &Job) -> Option<String> {
         let in_use = self.borrowed.get(&job.organisation).copied().unwrap_or(0);
         let quota = self.options.rules.quota(&job.organisation)?;
-        let is_beyond = in_use.saturating_add(queue::accelerators(job)) > quota;
+        let is_beyond = in_use.saturating_add(size::accelerators(job)) > quota;
         is_beyond.then(|| format!("its organisation borrows {in_use} of {quota} accelerators"))
     }
 
@@ -311,7 +311,7 @@
     fn must_protect_block(&self, waiting: &Waiting<'_>, place: &place::Outcome) -> bool {
         let Some(block_shape) = self.block_shape else { return false };
         let is_smaller =
-            queue::accelerators(waiting.job) < block_shape.accelerators * block_shape.tasks;
+            size::accelerators(waiting.job) < block_shape.accelerators * block_shape.tasks;
         let may_wait = waiting.waited < self.preference.max_wait;
         is_smaller
             && may_wait
@@ -334,7 +334,7 @@
             .borrows_beyond_quota(job)
             .unwrap_or_else(|| "no group of workers has room for the whole gang".to_owned());
         let may_reserve = self.options.mechanisms.has_reservation
-            && queue::accelerators(job) > 1
+            && size::accelerators(job) > 1
             && self.reservations.len() < MAX_RESERVATIONS
             && self.borrows_beyond_quota(job).is_none();
         let shape = job.shape.unwrap_or_default();
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -10,7 +10,7 @@
 };
 use sapphire_jobs::resources::Resources;
 use sapphire_plan::{
-    admit, assignment, clear, estimate, evict, fleet, health, pace, pass, reclaim, reserve, wait,
+    admit, assignment, estimate, evict, fleet, health, pace, pass, preempt, reclaim, reserve, wait,
     waves,
 };
 use sapphire_rules::file;
@@ -433,7 +433,7 @@
         ..Default::default()
     };
     let places = [place("w1"), place("w2")];
-    let candidate = |at: usize, remaining: u64, cost: f64| clear::Candidate {
+    let candidate = |at: usize, remaining: u64, cost: f64| preempt::Candidate {
         priority: 1,
         is_guaranteed: false,
         is_stopping: false,
@@ -443,7 +443,7 @@
     let candidates = [candidate(0, 1_000, 600.0), candidate(1, 9_000, 200.0)];
     let demand = assignment::Demand { tasks: 1, resources, ..assignment::Demand::default() };
     let urgent =
-        clear::Urgent { demand: &demand, reach: assignment::Reach::Remote, is_guaranteed: false };
+        preempt::Urgent { demand: &demand, reach: assignment::Reach::Remote, is_guaranteed: false };
     let job = |latency: u64| wait::Job {
         age: Duration::ZERO,
         expected: estimate::Estimate { centre: Duration::from_secs(3), spread: 0.3 },
@@ -451,14 +451,14 @@
         slack: 1.5,
         latency: Duration::from_millis(latency),
     };
-    let (limit, stop) = (clear::LONGEST_WAIT, Duration::from_millis(400));
-    let weigh = |job| clear::weigh(&places, &candidates, urgent, &job, limit, stop);
+    let (limit, stop) = (preempt::LONGEST_WAIT, Duration::from_millis(400));
+    let weigh = |job| preempt::weigh(&places, &candidates, urgent, &job, limit, stop);
     let waiting_choice = weigh(job(2_000)).expect("stops make it fit");
     assert_eq!((waiting_choice.stops.as_slice(), waiting_choice.cost), (&[][..], 0.0));
-    let immediate_choice = clear::choose(&places, &candidates, urgent, Duration::ZERO, stop);
+    let immediate_choice = preempt::choose(&places, &candidates, urgent, Duration::ZERO, stop);
     assert_eq!(immediate_choice.expect("stops make it fit").stops, [1]);
-    let whole = clear::Candidate { priority: 0, ..candidates[0].clone() };
-    assert_eq!(clear::choose(&places[..1], &[whole], urgent, Duration::ZERO, stop), None);
+    let whole = preempt::Candidate { priority: 0, ..candidates[0].clone() };
+    assert_eq!(preempt::choose(&places[..1], &[whole], urgent, Duration::ZERO, stop), None);
 }
 
 fn place(worker: &str, rack: &str, capacity: u64, free: u64) -> assignment::Place {
--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/board.rs
@@ -12,7 +12,7 @@
 };
 use sapphire_plan::{
     assignment::{Demand, Place},
-    clear, evict,
+    evict, preempt,
     reserve::Reservation,
     suspect::Suspicion,
     wait,
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Candidates {
     /// What decides about each.
-    of_plan: Vec<clear::Candidate>,
+    of_plan: Vec<preempt::Candidate>,
     /// Index of each one's job, and its key there.
     keys: Vec<(usize, GroupKey)>,
     jobs: Vec<JobId>,
@@ -40,7 +40,7 @@
     pub(crate) places: Vec<Place>,
     pub(crate) index: BTreeMap<WorkerName, usize>,
     /// Looked up when an urgent group first finds no room, which most passes never see.
-    pub(crate) candidates: Vec<clear::Candidate>,
+    pub(crate) candidates: Vec<preempt::Candidate>,
     /// Index of each candidate's job, and its key there.
     keys: Vec<(usize, GroupKey)>,
     /// Jobs of the candidates.
@@ -182,7 +182,7 @@
                 let victim = evict::Victim { cost, released: seats.collect() };
                 let is_stopping = active.is_stopping;
                 found.keys.push((job, *key));
-                found.of_plan.push(clear::Candidate {
+                found.of_plan.push(preempt::Candidate {
                     priority,
                     is_guaranteed,
                     is_stopping,
@@ -201,7 +201,7 @@
         }
         let ran = now.steady.saturating_sub(active.began.unwrap_or(active.since));
         let cores = Resources::read(step.room.as_ref()).weight() * active.left.len() as f64;
-        clear::loss(cores, ran, step.checkpoints)
+        preempt::loss(cores, ran, step.checkpoints)
     }
 
     /// What it costs a job's caller that one of its groups is stopped, beside the work lost.
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -5,7 +5,7 @@
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
     assignment::{Demand, Reach},
-    clear,
+    preempt,
     reserve::{Reservation, Running},
 };
 
@@ -31,7 +31,7 @@
             return;
         }
         self.look_up_candidates(now, board, guaranteed);
-        let remaining = |candidate: &clear::Candidate| {
+        let remaining = |candidate: &preempt::Candidate| {
             if candidate.is_stopping { self.options.stop } else { candidate.remaining }
         };
         let running: Vec<Running<'_>> = (board.candidates.iter())
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -5,7 +5,7 @@
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
     assignment::{Assignment, Demand, Reach},
-    clear::{self, Choice},
+    preempt::{self, Choice},
     rank, wait, waves,
 };
 
@@ -38,8 +38,8 @@
 }
 
 impl Urgent<'_> {
-    fn of_plan(&self) -> clear::Urgent<'_> {
-        clear::Urgent { demand: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
+    fn of_plan(&self) -> preempt::Urgent<'_> {
+        preempt::Urgent { demand: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
     }
 }
 
@@ -59,7 +59,7 @@
         let limit = if self.options.policy.weigh_waits { limit } else { Duration::ZERO };
         let stop = self.options.stop;
         let Board { places, candidates, .. } = &*board;
-        let choice = clear::weigh(places, candidates, urgent.of_plan(), &job, limit, stop);
+        let choice = preempt::weigh(places, candidates, urgent.of_plan(), &job, limit, stop);
         if let Some(choice) = choice {
             self.claim(now, board, urgent, choice, false);
         }
@@ -102,7 +102,7 @@
         // What is free already needs no stop, so the place that was chosen first is mostly kept.
         let (stop, now_or_never) = (self.options.stop, Duration::ZERO);
         let Board { places, candidates, .. } = &*board;
-        let choice = clear::choose(places, candidates, urgent.of_plan(), now_or_never, stop);
+        let choice = preempt::choose(places, candidates, urgent.of_plan(), now_or_never, stop);
         if let Some(choice) = choice {
             self.claim(now, board, urgent, choice, true);
         }
@@ -163,7 +163,7 @@
         let limit = if urgent.is_guaranteed {
             self.options.reclaim.saturating_sub(age + self.options.stop + OVERHEAD)
         } else {
-            clear::LONGEST_WAIT
+            preempt::LONGEST_WAIT
         };
         Some((job, limit))
     }
--- a/crates/trace/src/run.rs
+++ b/crates/trace/src/run.rs
@@ -13,7 +13,7 @@
     fleet::Fleet,
     pass::{self, Mechanisms},
     place::{self, Assignment},
-    queue, reclaim,
+    reclaim, size,
 };
 use sapphire_wire::{Job, id, resource};
 
@@ -145,7 +145,7 @@
         for id in due {
             let live = self.live.remove(&id).expect("just found");
             self.release(&id, &live);
-            let accelerators = f64::from(queue::accelerators(self.job(&id)));
+            let accelerators = f64::from(size::accelerators(self.job(&id)));
             let ran = now.saturating_sub(live.started);
             self.used += accelerators * seconds(ran);
             match live.evicted_at {
@@ -347,7 +347,7 @@
                 attempt: id.clone(),
                 need: resource::Amount::of_tasks(&shape, tasks),
                 ran: now.saturating_sub(live.started),
-                gang: queue::accelerators(self.job(id)),
+                gang: size::accelerators(self.job(id)),
             }
         })
         .collect()
@@ -396,7 +396,7 @@
         let slowdowns: Vec<f64> =
             load.iter().map(|arrival| completion(arrival) / seconds(arrival.run)).collect();
         let least = self.deployment.largest.tasks * self.deployment.largest.accelerators;
-        let large = load.iter().filter(|arrival| queue::accelerators(&arrival.job) >= least);
+        let large = load.iter().filter(|arrival| size::accelerators(&arrival.job) >= least);
         let waits: Vec<f64> =
             large.map(|a| seconds(self.first_start[&a.job.id].saturating_sub(a.at))).collect();
         let mean = |numbers: &[f64]| figures::spread(numbers).0;
