--- a/crates/plan/src/estimate.rs
+++ b/crates/plan/src/estimate.rs
@@ -119,6 +119,7 @@
 }
 
 impl Learned {
+    /// Updates all averages with the run time of one job, and the errors of the predictions before it.
     fn observe(&mut self, times: LogTimes, prediction: f64) {
         let LogTimes { ran, declared } = times;
         let weight = if self.count == 0.0 { 1.0 } else { LATEST_WEIGHT };
@@ -222,8 +223,8 @@
     }
 
     /// Expected remaining run time of a job that has run for `ran`. A job that outlives its estimate
-    /// is expected to run for half as long again as it has so far, so that the estimate of its
-    /// remaining time grows gradually.
+    /// is expected to run for half as long again as it has so far, so that its position among others
+    /// changes gradually.
     pub fn remaining(expected: Duration, ran: Duration) -> Duration {
         expected.saturating_sub(ran).max(ran / 2).max(MIN_ESTIMATE)
     }
--- a/crates/plan/src/health.rs
+++ b/crates/plan/src/health.rs
@@ -80,6 +80,7 @@
         }
     }
 
+    /// Whether so much fails on the workers other than `worker` that jobs must be the cause.
     fn are_jobs_faulty(&self, worker: &str) -> bool {
         let others = || self.latest_outcomes.iter().filter(|(other, _)| other != worker);
         let failures = others().filter(|(_, is_success)| !is_success).count();
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -23,7 +23,7 @@
 /// is.
 const MIN_SLOW_RATIO: f64 = 2.0;
 /// Spread of the run times of one task on healthy workers, as the standard deviation of logarithms.
-pub const SAME_TASK: f64 = 0.2;
+pub const SAME_TASK_SPREAD: f64 = 0.2;
 /// A slow run is moved if what is left of it takes this many times as long as on another worker.
 const MIN_MOVE_RATIO: f64 = 2.0;
 /// Time that a move takes in addition to the run: the stop, the new start and their messages.
@@ -47,7 +47,7 @@
 pub fn compare(total_time: Duration, estimates: &[Estimate]) -> Verdict {
     let Some(estimate) = narrowest(estimates) else { return Verdict::Unknown };
     let ratio = total_time.as_secs_f64() / estimate.centre.as_secs_f64().max(f64::MIN_POSITIVE);
-    let deviations = ratio.ln() / estimate.spread.max(SAME_TASK);
+    let deviations = ratio.ln() / estimate.spread.max(SAME_TASK_SPREAD);
     if ratio >= MIN_SLOW_RATIO && deviations >= SLOW_DEVIATIONS {
         Verdict::Slow
     } else if deviations <= NORMAL_DEVIATIONS && estimate.spread <= MAX_DECISIVE_SPREAD {
@@ -135,7 +135,7 @@
 
     /// Records progress, which came after `gap` without any. A section in which the run was stalled
     /// is discarded, since it says nothing of the pace before or after.
-    pub fn note(&mut self, now: Duration, percent: u32, gap: Duration) {
+    pub fn record(&mut self, now: Duration, percent: u32, gap: Duration) {
         if self.best.is_some() && gap >= stall_timeout(self.best, Duration::ZERO) {
             self.since = now;
             self.percent = percent;
--- a/crates/plan/src/pass.rs
+++ b/crates/plan/src/pass.rs
@@ -261,7 +261,7 @@
     }
 
     /// Whether a job is smaller than its organisation's largest guarantee. Such a job borrows if it
-    /// can, so that the workers of the guaranteed shape stay available as a whole.
+    /// can, so that the accelerators of the guarantee stay available for a gang of the full size.
     fn is_small(&self, job: &Job) -> bool {
         let own =
             self.options.rules.guarantees().filter(|(_, g)| g.organisation == job.organisation);
--- a/crates/plan/src/place.rs
+++ b/crates/plan/src/place.rs
@@ -272,8 +272,8 @@
     Some((score, selected))
 }
 
-/// Selects workers for a number of tasks, rack by rack. Takes the rack with the least room that
-/// holds all tasks that are left, or the one with the most room if none does.
+/// Selects workers for a number of tasks, rack by rack. Of the racks that can hold all tasks that are
+/// left, the smallest is used; if there is none, the rack that can hold the most tasks.
 fn select_workers<'r, 'a>(candidates: &'r [Candidate<'a>], tasks: u32) -> Selection<'r, 'a> {
     let mut by_rack: Vec<&Candidate<'_>> = candidates.iter().collect();
     by_rack.sort_by(|left, right| left.worker.rack.cmp(&right.worker.rack));
--- a/crates/plan/tests/decisions/mod.rs
+++ b/crates/plan/tests/decisions/mod.rs
@@ -355,11 +355,11 @@
     let ms = Duration::from_millis;
     let mut track = pace::Track::new(ms(0), 1);
     for time in (400..=2_000).step_by(400) {
-        track.note(ms(time), 1 + (time / 80) as u32, ms(400));
+        track.record(ms(time), 1 + (time / 80) as u32, ms(400));
     }
     let own = estimate::Estimate {
         centre: track.best().expect("a section is complete"),
-        spread: pace::SAME_TASK,
+        spread: pace::SAME_TASK_SPREAD,
     };
     let verdict = |time, percent| {
         let whole = track.present(ms(time), percent).expect("the section is long enough");
@@ -411,13 +411,13 @@
     let ms = Duration::from_millis;
     let mut track = pace::Track::new(ms(0), 1);
     for time in (400..=4_000).step_by(400) {
-        track.note(ms(time), 1 + (time / 80) as u32, ms(400));
+        track.record(ms(time), 1 + (time / 80) as u32, ms(400));
     }
-    track.note(ms(9_400), 52, ms(5_400));
+    track.record(ms(9_400), 52, ms(5_400));
     let whole = track.present(ms(10_400), 64).expect("the section is long enough");
     let own = estimate::Estimate {
         centre: track.best().expect("a section is complete"),
-        spread: pace::SAME_TASK,
+        spread: pace::SAME_TASK_SPREAD,
     };
     assert_eq!(pace::compare(whole, &[own]), pace::Verdict::Normal);
 }
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -292,7 +292,7 @@
 
 /// The same task elsewhere, or earlier.
 fn same_task(centre: Duration) -> Estimate {
-    Estimate { centre, spread: pace::SAME_TASK }
+    Estimate { centre, spread: pace::SAME_TASK_SPREAD }
 }
 
 /// The median of a step's times, without those of one worker. Several on one worker count as one,
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -220,7 +220,7 @@
             run.moved = now;
             run.still = 0;
             let track = run.track.get_or_insert(pace::Track::new(now, running.percent));
-            track.note(now, running.percent, gap);
+            track.record(now, running.percent, gap);
         } else if is_new_list {
             run.still += 1;
         }
