--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/board.rs
@@ -7,14 +7,14 @@
 
 use sapphire_jobs::{
     Step,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
-    clear, evict,
+    assignment::{Demand, Place},
+    evict, preempt,
     reserve::Reservation,
-    seat::{Ask, Place},
-    suspect::Doubt,
+    suspect::Suspicion,
     wait,
 };
 
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Candidates {
     /// What decides about each.
-    of_plan: Vec<clear::Candidate>,
+    of_plan: Vec<preempt::Candidate>,
     /// Index of each one's job, and its key there.
     keys: Vec<(usize, GroupKey)>,
     jobs: Vec<JobId>,
@@ -40,7 +40,7 @@
     pub(crate) places: Vec<Place>,
     pub(crate) index: BTreeMap<WorkerName, usize>,
     /// Looked up when an urgent group first finds no room, which most passes never see.
-    pub(crate) candidates: Vec<clear::Candidate>,
+    pub(crate) candidates: Vec<preempt::Candidate>,
     /// Index of each candidate's job, and its key there.
     keys: Vec<(usize, GroupKey)>,
     /// Jobs of the candidates.
@@ -58,7 +58,7 @@
     }
 
     /// Takes room on a worker, of what is free there and else of what is kept there.
-    pub(crate) fn take_room(&mut self, at: usize, room: Room) {
+    pub(crate) fn take_room(&mut self, at: usize, room: Resources) {
         let place = &mut self.places[at];
         let mut of_kept = room.minus(place.free);
         place.free = place.free.minus(room);
@@ -78,12 +78,12 @@
     }
 
     /// Keeps room for a group that waits for it to be freed.
-    pub(crate) fn take_claim(&mut self, claim: &Claim, ask: &Ask) {
+    pub(crate) fn take_claim(&mut self, claim: &Claim, ask: &Demand) {
         for (name, tasks) in &claim.seats {
             if let Some(at) = self.index.get(name) {
                 let place = &mut self.places[*at];
-                let claimed = ask.room.times((*tasks).into());
-                place.owed = place.owed.plus(claimed.minus(place.free));
+                let claimed = ask.resources.times((*tasks).into());
+                place.promised = place.promised.plus(claimed.minus(place.free));
                 place.free = place.free.minus(claimed);
             }
         }
@@ -96,10 +96,10 @@
         let mut index = BTreeMap::new();
         for (name, worker) in &self.workers {
             let Some(minion) = &worker.incarnation else { continue };
-            let doubt = match self.doubt(name, now.steady) {
-                Doubt::None => 0,
-                Doubt::Last => 1,
-                Doubt::Closed => continue,
+            let suspicion = match self.doubt(name, now.steady) {
+                Suspicion::None => 0,
+                Suspicion::LastChoice => 1,
+                Suspicion::Excluded => continue,
             };
             let is_recorded = self.startup.is_recorded(name);
             if minion.service != service || !worker.is_open(now.steady) || !is_recorded {
@@ -111,9 +111,9 @@
                 rack: minion.rack.as_str().into(),
                 labels: minion.labels.as_slice().into(),
                 free: worker.capacity().minus(worker.used()),
-                owed: Room::default(),
+                promised: Resources::default(),
                 capacity: worker.capacity(),
-                doubt,
+                suspicion,
             });
         }
         Board {
@@ -127,8 +127,12 @@
         }
     }
 
-    fn doubt(&self, name: &str, now: Duration) -> Doubt {
-        if self.options.policy.doubt_workers { self.suspects.doubt(name, now) } else { Doubt::None }
+    fn doubt(&self, name: &str, now: Duration) -> Suspicion {
+        if self.options.policy.doubt_workers {
+            self.suspects.suspicion(name, now)
+        } else {
+            Suspicion::None
+        }
     }
 
     /// Looks up what may be stopped on a board's workers, once.
@@ -169,16 +173,16 @@
                 if step.is_long_running {
                     continue;
                 }
-                let room = Room::read(step.room.as_ref());
+                let room = Resources::read(step.room.as_ref());
                 let seats = active.left.values().filter_map(|name| Some((*index.get(name)?, room)));
                 let remaining = self.remaining_run(now, entry, key, active);
                 let end = Self::age(entry, now).saturating_add(remaining);
                 let lateness = self.lateness(priority, objective.saturating_sub(end));
                 let cost = self.stop_cost(now, step, active) + lateness / running as f64;
-                let victim = evict::Victim { cost, seats: seats.collect() };
+                let victim = evict::Victim { cost, released: seats.collect() };
                 let is_stopping = active.is_stopping;
                 found.keys.push((job, *key));
-                found.of_plan.push(clear::Candidate {
+                found.of_plan.push(preempt::Candidate {
                     priority,
                     is_guaranteed,
                     is_stopping,
@@ -196,8 +200,8 @@
             return 0.0;
         }
         let ran = now.steady.saturating_sub(active.began.unwrap_or(active.since));
-        let cores = Room::read(step.room.as_ref()).weight() * active.left.len() as f64;
-        clear::loss(cores, ran, step.checkpoints)
+        let cores = Resources::read(step.room.as_ref()).weight() * active.left.len() as f64;
+        preempt::loss(cores, ran, step.checkpoints)
     }
 
     /// What it costs a job's caller that one of its groups is stopped, beside the work lost.
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -7,11 +7,11 @@
 
 use sapphire_jobs::{
     Progress, State, Step, Tally, length,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task},
 };
 use sapphire_plan::{
-    estimate::Seen,
+    estimate::Sample,
     waves::{self, Width},
 };
 
@@ -77,7 +77,7 @@
     /// Tasks of each step that its service's workers hold together; 0 while that isn't known.
     pub fits: Vec<u64>,
     /// How long the tasks of each step take, as those that ran or run have shown.
-    pub seen: Vec<Option<Seen>>,
+    pub seen: Vec<Option<Sample>>,
 }
 
 impl Entry {
@@ -237,7 +237,8 @@
     /// Accelerators that its first steps take at once.
     pub fn accelerators(&self) -> u64 {
         let first = self.job.steps.iter().filter(|step| step.after.is_empty());
-        let of = |step: &Step| Room::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
+        let of =
+            |step: &Step| Resources::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
         first.map(of).sum()
     }
 
@@ -245,7 +246,7 @@
     pub fn remaining(&self, expect: impl Fn(u32) -> Duration) -> Duration {
         let last = self.occurrences.saturating_sub(1);
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = Width { tasks: self.tasks_left(last, index), ..self.width(index) };
             index += 1;
             if width.tasks == 0 {
@@ -259,7 +260,7 @@
     /// The longest chain of its steps, with the waves that its caller allows for.
     pub fn chain(&self, expect: impl Fn(u32) -> Duration) -> Duration {
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = self.width(index);
             index += 1;
             expect(index - 1) * waves::allowed(width)
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -4,10 +4,9 @@
 
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
-    clear::{self, Choice},
-    rank,
-    seat::{Ask, Reach, Seat},
-    wait, waves,
+    assignment::{Assignment, Demand, Reach},
+    preempt::{self, Choice},
+    rank, wait, waves,
 };
 
 use crate::{
@@ -32,15 +31,15 @@
     /// Its job.
     pub(crate) id: &'a str,
     pub(crate) key: &'a GroupKey,
-    pub(crate) ask: &'a Ask,
+    pub(crate) ask: &'a Demand,
     pub(crate) reach: Reach,
     /// Its job is within its organisation's guarantee.
     pub(crate) is_guaranteed: bool,
 }
 
 impl Urgent<'_> {
-    fn of_plan(&self) -> clear::Urgent<'_> {
-        clear::Urgent { ask: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
+    fn of_plan(&self) -> preempt::Urgent<'_> {
+        preempt::Urgent { demand: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
     }
 }
 
@@ -60,7 +59,7 @@
         let limit = if self.options.policy.weigh_waits { limit } else { Duration::ZERO };
         let stop = self.options.stop;
         let Board { places, candidates, .. } = &*board;
-        let choice = clear::weigh(places, candidates, urgent.of_plan(), &job, limit, stop);
+        let choice = preempt::weigh(places, candidates, urgent.of_plan(), &job, limit, stop);
         if let Some(choice) = choice {
             self.claim(now, board, urgent, choice, false);
         }
@@ -103,7 +102,7 @@
         // What is free already needs no stop, so the place that was chosen first is mostly kept.
         let (stop, now_or_never) = (self.options.stop, Duration::ZERO);
         let Board { places, candidates, .. } = &*board;
-        let choice = clear::choose(places, candidates, urgent.of_plan(), now_or_never, stop);
+        let choice = preempt::choose(places, candidates, urgent.of_plan(), now_or_never, stop);
         if let Some(choice) = choice {
             self.claim(now, board, urgent, choice, true);
         }
@@ -119,9 +118,9 @@
         is_forced: bool,
     ) {
         let Urgent { id, key, ask, .. } = *urgent;
-        let Choice { wait, stops, seats, cost, .. } = choice;
-        let seat = |seat: &Seat| (board.places[seat.place].worker.to_string(), seat.tasks);
-        let seats = seats.iter().map(seat).collect();
+        let Choice { wait, stops, assignments, cost, .. } = choice;
+        let seat = |seat: &Assignment| (board.places[seat.place].worker.to_string(), seat.tasks);
+        let seats = assignments.iter().map(seat).collect();
         let until = now.steady + wait.max(self.options.stop) + SETTLING;
         let claim = Claim { until, seats };
         board.take_claim(&claim, ask);
@@ -164,7 +163,7 @@
         let limit = if urgent.is_guaranteed {
             self.options.reclaim.saturating_sub(age + self.options.stop + OVERHEAD)
         } else {
-            clear::LONGEST_WAIT
+            preempt::LONGEST_WAIT
         };
         Some((job, limit))
     }
