--- /dev/null
+++ b/crates/plan/src/assignment.rs
@@ -0,0 +1,210 @@
+//! Assignment of the tasks of one group, which is a gang or a single task, to workers.
+//!
+//! Small tasks that were spread over all workers would leave no idle worker and no idle rack for a
+//! gang of tasks with eight accelerators each. So a group is assigned where it leaves the least
+//! free, and to an idle worker only if no partly used worker can hold it (best fit).
+
+use std::{collections::BTreeMap, rc::Rc};
+
+use sapphire_jobs::resources::Resources;
+
+/// A worker that tasks may be assigned to. It is cheap to clone, since a search for groups to stop
+/// works on many copies of all places.
+#[derive(Clone, Debug, Default)]
+pub struct Place {
+    /// Name of the worker.
+    pub worker: Rc<str>,
+    /// Rack that the worker is in.
+    pub rack: Rc<str>,
+    /// Labels that steps may require of a worker.
+    pub labels: Rc<[String]>,
+    /// Free resources.
+    pub free: Resources,
+    /// Resources that are not free yet, but are promised to groups that wait for their release.
+    pub promised: Resources,
+    /// Total resources.
+    pub capacity: Resources,
+    /// How far the worker is to be avoided; 0 for a healthy worker.
+    pub suspicion: u32,
+}
+
+/// Requirements of a group.
+#[derive(Clone, Debug, Default)]
+pub struct Demand {
+    /// Number of tasks, all of which must be assigned.
+    pub tasks: u32,
+    /// Resources that each task needs.
+    pub resources: Resources,
+    /// Label that a worker must have; empty if any worker will do.
+    pub label: String,
+    /// Rack that is near the group's data; empty if any rack will do.
+    pub near_rack: String,
+    /// Whether the group is slower if it runs on more than one rack.
+    pub wants_one_rack: bool,
+    /// Maximum number of tasks on one worker; 0 for no limit.
+    pub per_worker: u32,
+    /// Number of tasks on each worker that count towards `per_worker` already.
+    pub present: BTreeMap<String, u32>,
+    /// Workers on which the group failed before. They are used only if there is no other.
+    pub avoid: Vec<String>,
+    /// Tasks that may only go to one particular worker, by their index in the group.
+    pub bound: BTreeMap<u32, String>,
+}
+
+/// Which workers a group may be assigned to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reach {
+    /// Only workers on which it runs at full speed.
+    Near,
+    /// All workers, including those on which it is slower.
+    Remote,
+}
+
+/// Tasks of a group that are assigned to one worker.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Assignment {
+    /// Index of the place.
+    pub place: usize,
+    /// Number of tasks.
+    pub tasks: u32,
+}
+
+/// A place with the number of tasks that it can hold.
+#[derive(Clone, Copy)]
+struct Candidate<'a> {
+    index: usize,
+    place: &'a Place,
+    tasks: u32,
+    suspicion: u32,
+}
+
+/// Assigns all tasks of a group, or none.
+pub fn assign(places: &[Place], demand: &Demand, reach: Reach) -> Option<Vec<Assignment>> {
+    let candidates: Vec<Candidate<'_>> = (places.iter().enumerate())
+        .filter_map(|(index, place)| candidate(index, place, demand))
+        .filter(|candidate| reach == Reach::Remote || is_near(candidate.place, demand))
+        .collect();
+    if demand.wants_one_rack {
+        let in_one_rack = by_rack(&candidates).into_values().filter_map(|rack| fill(&rack, demand));
+        let best = in_one_rack.min_by_key(|(cost, _)| *cost).map(|(_, assignments)| assignments);
+        if best.is_some() || reach == Reach::Near {
+            return best;
+        }
+    }
+    fill(&candidates, demand).map(|(_, assignments)| assignments)
+}
+
+/// A place as a candidate for a group; none if it can't hold any of its tasks.
+fn candidate<'a>(index: usize, place: &'a Place, demand: &Demand) -> Option<Candidate<'a>> {
+    let has_label = demand.label.is_empty() || place.labels.contains(&demand.label);
+    let mut tasks = place.free.count_fitting(demand.resources);
+    if demand.per_worker > 0 {
+        let present = demand.present.get(&*place.worker).copied().unwrap_or(0);
+        tasks = tasks.min(demand.per_worker.saturating_sub(present));
+    }
+    let is_avoided = demand.avoid.iter().any(|name| **name == *place.worker);
+    let suspicion = place.suspicion + u32::from(is_avoided) * AVOIDED_SUSPICION;
+    (has_label && tasks > 0).then_some(Candidate { index, place, tasks, suspicion })
+}
+
+/// Suspicion that is added for a worker on which the group failed before. It exceeds that of any
+/// other worker.
+const AVOIDED_SUSPICION: u32 = 100;
+
+fn is_near(place: &Place, demand: &Demand) -> bool {
+    demand.near_rack.is_empty() || *place.rack == *demand.near_rack
+}
+
+fn by_rack<'a>(candidates: &[Candidate<'a>]) -> BTreeMap<&'a str, Vec<Candidate<'a>>> {
+    let mut racks: BTreeMap<&str, Vec<Candidate<'_>>> = BTreeMap::new();
+    for candidate in candidates {
+        racks.entry(&candidate.place.rack).or_default().push(*candidate);
+    }
+    racks
+}
+
+/// Cost of an assignment, compared in this order: suspicion, number of workers away from the data,
+/// number of idle workers used in part, and accelerators left free.
+type Cost = (u32, u32, u32, u64);
+
+/// Assigns the group to as few workers as possible, those with the least left free first.
+fn fill(candidates: &[Candidate<'_>], demand: &Demand) -> Option<(Cost, Vec<Assignment>)> {
+    let total: u64 = candidates.iter().map(|candidate| u64::from(candidate.tasks)).sum();
+    if total < u64::from(demand.tasks) {
+        return None;
+    }
+    let mut unused: Vec<Candidate<'_>> = candidates.to_vec();
+    let mut missing = demand.tasks;
+    let mut cost: Cost = (0, 0, 0, 0);
+    let mut assignments = Vec::new();
+    let mut bound = bound(demand);
+    while missing > 0 {
+        let best = match bound.pop_first() {
+            Some((worker, tasks)) => {
+                let at = unused.iter().position(|candidate| *candidate.place.worker == *worker)?;
+                (unused[at].tasks >= tasks).then_some(at)?
+            }
+            None => (0..unused.len()).min_by_key(|at| preference(&unused[*at], demand, missing))?,
+        };
+        let candidate = unused.swap_remove(best);
+        let bound_elsewhere = bound.values().sum::<u32>();
+        let tasks = candidate.tasks.min(missing - bound_elsewhere.min(missing));
+        missing -= tasks;
+        let (suspicion, remote, broken, free) = candidate_cost(&candidate, demand, tasks);
+        cost = (cost.0 + suspicion, cost.1 + remote, cost.2 + broken, cost.3 + free);
+        assignments.push(Assignment { place: candidate.index, tasks });
+    }
+    Some((cost, assignments))
+}
+
+/// Number of tasks that may only go to one particular worker, by worker.
+fn bound(demand: &Demand) -> BTreeMap<&str, u32> {
+    let mut bound: BTreeMap<&str, u32> = BTreeMap::new();
+    for worker in demand.bound.values() {
+        *bound.entry(worker).or_default() += 1;
+    }
+    bound
+}
+
+/// Cost of assigning some tasks to one candidate.
+fn candidate_cost(candidate: &Candidate<'_>, demand: &Demand, tasks: u32) -> Cost {
+    let is_idle = candidate.place.free == candidate.place.capacity;
+    let left = candidate.place.free.minus(demand.resources.times(tasks.into())).accelerators;
+    let broken = u32::from(is_idle && left > 0);
+    (candidate.suspicion, u32::from(!is_near(candidate.place, demand)), broken, left)
+}
+
+/// Sort key of the order in which workers are used: healthy ones first, then those near the data,
+/// then those that hold all tasks that are left and leave the least free, then those that hold the
+/// most tasks.
+fn preference(
+    candidate: &Candidate<'_>,
+    demand: &Demand,
+    missing: u32,
+) -> (u32, u32, u32, u32, u64, u64) {
+    let (suspicion, remote, broken, left) =
+        candidate_cost(candidate, demand, candidate.tasks.min(missing));
+    let shortfall = missing.saturating_sub(candidate.tasks);
+    let cores = candidate.place.free.millicores;
+    (suspicion, remote, shortfall, broken, left, cores)
+}
+
+/// Places for work that can wait and that a stop would lose: the last `keep` healthy workers on which
+/// nothing runs are reserved, that is, shown without free resources.
+///
+/// Guards against urgent tasks, each of which needs a complete worker, having to stop work that has
+/// run for seconds because long tasks have spread over all workers. The reserved workers stay
+/// available to work that loses nothing when it is stopped.
+pub fn without_reserved(places: &[Place], keep: usize) -> Vec<Place> {
+    let is_idle = |place: &Place| place.free == place.capacity && place.suspicion == 0;
+    let mut idle = places.iter().filter(|place| is_idle(place)).count();
+    let mut unreserved = places.to_vec();
+    for place in unreserved.iter_mut().filter(|place| is_idle(place)) {
+        if idle <= keep {
+            place.free = Resources::default();
+        } else {
+            idle -= 1;
+        }
+    }
+    unreserved
+}
--- a/crates/planner/src/accept.rs
+++ b/crates/planner/src/accept.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use sapphire_jobs::{Job, State, Step, room::Room};
+use sapphire_jobs::{Job, State, Step, resources::Resources};
 
 use crate::{event::Moment, planner::Planner, table::Entry, worker::Cause};
 
@@ -79,7 +79,7 @@
 /// Describes a step in one word for the log: number of tasks, resources of each, declared run time
 /// and requirements.
 fn describe(step: &Step) -> String {
-    let resources = Room::read(step.room.as_ref());
+    let resources = Resources::read(step.room.as_ref());
     let mut text = format!(
         "{}x{}m/{}MiB/{}a/{}ms",
         step.tasks,
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -10,12 +10,12 @@
 };
 
 use sapphire_jobs::{
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
+    assignment::{self, Demand, Place, Reach},
     rank,
-    seat::{self, Ask, Place, Reach},
 };
 
 use crate::{
@@ -147,17 +147,17 @@
             objective: self.objective(entry),
             remaining: entry.remaining_path(|step| self.expected_run_time(entry, step)),
             work: sapphire_jobs::length::work(&entry.job.steps),
-            may_press: self.options.policy.prefer_pressing,
+            escalates: self.options.policy.prefer_pressing,
         }
     }
 
     /// Returns what a group needs from the workers.
-    fn demand(&self, entry: &Entry, key: &GroupKey) -> Option<Ask> {
+    fn demand(&self, entry: &Entry, key: &GroupKey) -> Option<Demand> {
         let step = entry.step(key.step)?;
         let group = entry.groups.get(key)?;
-        Some(Ask {
+        Some(Demand {
             tasks: if step.is_gang { step.tasks } else { 1 },
-            room: Room::read(step.room.as_ref()),
+            resources: Resources::read(step.room.as_ref()),
             label: step.label.clone(),
             near_rack: step.near_rack.clone(),
             wants_one_rack: step.is_gang && step.wants_one_rack,
@@ -209,7 +209,7 @@
         let priority = self.queue_settings(entry).priority;
         let reach = self.reach(now, pool, entry, key, &demand, is_guaranteed);
         let places = self.available_places(now, pool, entry, key, &demand);
-        let assignments = seat::seat(&places, &demand, reach);
+        let assignments = assignment::assign(&places, &demand, reach);
         if let Some(assignments) = assignments {
             if self.may_still_run(id, key, demand.tasks) {
                 return Outcome::Waits;
@@ -243,7 +243,7 @@
         self.reserve(now, pool, &demand, reach, guaranteed);
         // Other groups of the step that have waited longer may also run where they are slower, and
         // they may use workers that this one avoids because it failed there.
-        let is_like_its_step = reach == Reach::Far || demand.near_rack.is_empty();
+        let is_like_its_step = reach == Reach::Remote || demand.near_rack.is_empty();
         if is_like_its_step && demand.avoid.is_empty() {
             Outcome::NoResources
         } else {
@@ -308,7 +308,7 @@
         pool: &'a Pool,
         entry: &Entry,
         key: &GroupKey,
-        demand: &Ask,
+        demand: &Demand,
     ) -> Cow<'a, [Place]> {
         if self.queue_settings(entry).priority > 0
             && let Some(others) = self.without_avoided(now, pool, entry, key, demand)
@@ -322,7 +322,7 @@
         }
         if self.options.policy.spare_workers && self.can_wait(now, entry, key) {
             let keep = MAX_RESERVED_WORKERS.min(pool.places.len() / WORKERS_PER_RESERVED);
-            return Cow::Owned(seat::spare(&pool.places, keep));
+            return Cow::Owned(assignment::without_reserved(&pool.places, keep));
         }
         Cow::Borrowed(&pool.places)
     }
@@ -338,7 +338,7 @@
         pool: &Pool,
         entry: &Entry,
         key: &GroupKey,
-        demand: &Ask,
+        demand: &Demand,
     ) -> Option<Vec<Place>> {
         let group = entry.groups.get(key)?;
         let wait_limit = self.expected_run_time(entry, key.step);
@@ -349,9 +349,9 @@
         let others = || pool.places.iter().filter(|place| !is_avoided(place)).cloned();
         let empty: Vec<Place> =
             others().map(|place| Place { free: place.capacity, ..place }).collect();
-        seat::seat(&empty, demand, Reach::Far)?;
+        assignment::assign(&empty, demand, Reach::Remote)?;
         let closed = |place: &Place| {
-            let free = if is_avoided(place) { Room::default() } else { place.free };
+            let free = if is_avoided(place) { Resources::default() } else { place.free };
             Place { free, ..place.clone() }
         };
         Some(pool.places.iter().map(closed).collect())
@@ -377,12 +377,12 @@
         pool: &Pool,
         entry: &Entry,
         key: &GroupKey,
-        demand: &Ask,
+        demand: &Demand,
         is_guaranteed: bool,
     ) -> Reach {
         let is_unconstrained = !demand.wants_one_rack && demand.near_rack.is_empty();
         if is_unconstrained || !self.options.policy.wait_for_rack {
-            return Reach::Far;
+            return Reach::Remote;
         }
         let group = entry.groups.get(key).expect("the caller has looked it up");
         let waited = now.steady.saturating_sub(group.waiting_since);
@@ -393,7 +393,7 @@
         let fits_near = || {
             let emptied = |place: &Place| Place { free: place.capacity, ..place.clone() };
             let places: Vec<Place> = pool.places.iter().map(emptied).collect();
-            seat::seat(&places, demand, Reach::Near).is_some()
+            assignment::assign(&places, demand, Reach::Near).is_some()
         };
         // A slower run takes resources from everybody for longer, which only urgent work justifies.
         let extra = if self.queue_settings(entry).priority == 0 {
@@ -401,7 +401,7 @@
         } else {
             extra * REMOTE_WAIT_FACTOR
         };
-        if waited >= extra || is_urgent || !fits_near() { Reach::Far } else { Reach::Near }
+        if waited >= extra || is_urgent || !fits_near() { Reach::Remote } else { Reach::Near }
     }
 }
 
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use sapphire_jobs::task::{GroupKey, RunNumber, Task};
-use sapphire_plan::seat::{Ask, Seat};
+use sapphire_plan::assignment::{Assignment, Demand};
 
 use crate::{
     event::Moment,
@@ -22,8 +22,8 @@
         pool: &mut Pool,
         id: &str,
         key: &GroupKey,
-        demand: &Ask,
-        assignments: &[Seat],
+        demand: &Demand,
+        assignments: &[Assignment],
     ) {
         let first = (self.startup.term_number - 1) * options::RUNS_PER_TERM + 1;
         let Some(entry) = self.table.entries.get_mut(id) else { return };
@@ -72,7 +72,7 @@
         now: Moment,
         id: &str,
         key: &GroupKey,
-        demand: &Ask,
+        demand: &Demand,
         number: RunNumber,
         unfinished: &Assignments,
     ) {
@@ -80,7 +80,7 @@
             let (occurrence, step) = (key.occurrence, key.step);
             let task = Task { job: id.to_owned(), occurrence, step, index: *index };
             let Some(worker) = self.workers.get_mut(name) else { continue };
-            let run = Run::new(number, demand.room, worker::Phase::Ordered, 0, now.steady);
+            let run = Run::new(number, demand.resources, worker::Phase::Ordered, 0, now.steady);
             worker.runs.insert(task, run);
         }
     }
@@ -88,12 +88,17 @@
 
 /// Allocates the resources of a group's tasks, which are numbered from `first`, and returns the
 /// worker of each.
-fn allocate(pool: &mut Pool, first: u32, demand: &Ask, assignments: &[Seat]) -> Assignments {
+fn allocate(
+    pool: &mut Pool,
+    first: u32,
+    demand: &Demand,
+    assignments: &[Assignment],
+) -> Assignments {
     let mut unfinished = BTreeMap::new();
     let mut bound = demand.bound.clone();
     let mut free = (0..demand.tasks).filter(|offset| !demand.bound.contains_key(offset));
     for assignment in assignments {
-        pool.allocate(assignment.place, demand.room.times(assignment.tasks.into()));
+        pool.allocate(assignment.place, demand.resources.times(assignment.tasks.into()));
         let place = &pool.places[assignment.place];
         for _ in 0..assignment.tasks {
             let own = bound.iter().find(|(_, worker)| **worker == *place.worker);
@@ -108,7 +113,7 @@
 
 /// Returns whether a group would run away from its data, or on several racks although it prefers
 /// one.
-fn is_remote(pool: &Pool, demand: &Ask, assignments: &[Seat]) -> bool {
+fn is_remote(pool: &Pool, demand: &Demand, assignments: &[Assignment]) -> bool {
     let mut racks = assignments.iter().map(|assignment| &*pool.places[assignment.place].rack);
     let first = racks.clone().next();
     let is_scattered = demand.wants_one_rack && racks.clone().any(|rack| Some(rack) != first);
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -227,7 +227,7 @@
             Estimate::declared(declared)
         };
         let sample = entry.step_samples.get(index as usize).copied().flatten();
-        of_kind.with_siblings(sample.filter(|_| policy.learn_siblings))
+        of_kind.with_same_step(sample.filter(|_| policy.learn_siblings))
     }
 
     /// Returns the time from its submission within which a job should be complete.
--- a/crates/planner/src/pool.rs
+++ b/crates/planner/src/pool.rs
@@ -7,14 +7,14 @@
 
 use sapphire_jobs::{
     Step,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
-    clear, evict,
+    assignment::{Demand, Place},
+    evict, preempt,
     reserve::Reservation,
-    seat::{Ask, Place},
-    suspect::Doubt,
+    suspect::Suspicion,
     wait,
 };
 
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Candidates {
     /// The data by which groups are chosen.
-    candidates: Vec<clear::Candidate>,
+    candidates: Vec<preempt::Candidate>,
     /// Index of each group's job in `jobs`, and the group's key in that job.
     keys: Vec<(usize, GroupKey)>,
     jobs: Vec<JobId>,
@@ -42,7 +42,7 @@
     pub(crate) index: BTreeMap<WorkerName, usize>,
     /// Groups that may be stopped. Looked up when an urgent group first finds no free resources,
     /// which happens in few passes.
-    pub(crate) candidates: Vec<clear::Candidate>,
+    pub(crate) candidates: Vec<preempt::Candidate>,
     /// Index of each candidate's job in `jobs`, and the candidate's key in that job.
     keys: Vec<(usize, GroupKey)>,
     /// Jobs of the candidates.
@@ -60,7 +60,7 @@
     }
 
     /// Allocates resources of a worker: its free ones first, then those that are reserved there.
-    pub(crate) fn allocate(&mut self, at: usize, resources: Room) {
+    pub(crate) fn allocate(&mut self, at: usize, resources: Resources) {
         let place = &mut self.places[at];
         let mut from_reserved = resources.minus(place.free);
         place.free = place.free.minus(resources);
@@ -81,12 +81,12 @@
     }
 
     /// Deducts the resources claimed by a group that waits for them to be released.
-    pub(crate) fn apply_claim(&mut self, claim: &Claim, demand: &Ask) {
+    pub(crate) fn apply_claim(&mut self, claim: &Claim, demand: &Demand) {
         for (name, tasks) in &claim.assignments {
             if let Some(at) = self.index.get(name) {
                 let place = &mut self.places[*at];
-                let claimed = demand.room.times((*tasks).into());
-                place.owed = place.owed.plus(claimed.minus(place.free));
+                let claimed = demand.resources.times((*tasks).into());
+                place.promised = place.promised.plus(claimed.minus(place.free));
                 place.free = place.free.minus(claimed);
             }
         }
@@ -100,10 +100,10 @@
         let mut index = BTreeMap::new();
         for (name, worker) in &self.workers {
             let Some(minion) = &worker.incarnation else { continue };
-            let doubt = match self.suspicion(name, now.steady) {
-                Doubt::None => 0,
-                Doubt::Last => 1,
-                Doubt::Closed => continue,
+            let suspicion = match self.suspicion(name, now.steady) {
+                Suspicion::None => 0,
+                Suspicion::LastChoice => 1,
+                Suspicion::Excluded => continue,
             };
             let is_recorded = self.startup.is_recorded(name);
             if minion.service != service || !worker.is_open(now.steady) || !is_recorded {
@@ -115,9 +115,9 @@
                 rack: minion.rack.as_str().into(),
                 labels: minion.labels.as_slice().into(),
                 free: worker.capacity().minus(worker.used()),
-                owed: Room::default(),
+                promised: Resources::default(),
                 capacity: worker.capacity(),
-                doubt,
+                suspicion,
             });
         }
         Pool {
@@ -132,8 +132,12 @@
     }
 
     /// Returns how much a worker is to be avoided.
-    fn suspicion(&self, name: &str, now: Duration) -> Doubt {
-        if self.options.policy.doubt_workers { self.suspects.doubt(name, now) } else { Doubt::None }
+    fn suspicion(&self, name: &str, now: Duration) -> Suspicion {
+        if self.options.policy.doubt_workers {
+            self.suspects.suspicion(name, now)
+        } else {
+            Suspicion::None
+        }
     }
 
     /// Looks up the groups that may be stopped on a pool's workers, once per pool.
@@ -174,7 +178,7 @@
                 if step.is_long_running {
                     continue;
                 }
-                let resources = Room::read(step.room.as_ref());
+                let resources = Resources::read(step.room.as_ref());
                 let released = active
                     .unfinished
                     .values()
@@ -183,10 +187,10 @@
                 let end = Self::age(entry, now).saturating_add(remaining);
                 let lateness = self.lateness(priority, objective.saturating_sub(end));
                 let cost = self.stop_cost(now, step, active) + lateness / running as f64;
-                let victim = evict::Victim { cost, seats: released.collect() };
+                let victim = evict::Victim { cost, released: released.collect() };
                 let is_stopping = active.is_stopping;
                 found.keys.push((job, *key));
-                found.candidates.push(clear::Candidate {
+                found.candidates.push(preempt::Candidate {
                     priority,
                     is_guaranteed,
                     is_stopping,
@@ -204,8 +208,8 @@
             return 0.0;
         }
         let ran = now.steady.saturating_sub(active.began.unwrap_or(active.ordered_at));
-        let cores = Room::read(step.room.as_ref()).weight() * active.unfinished.len() as f64;
-        clear::loss(cores, ran, step.checkpoints)
+        let cores = Resources::read(step.room.as_ref()).weight() * active.unfinished.len() as f64;
+        preempt::loss(cores, ran, step.checkpoints)
     }
 
     /// Returns the cost to a job's caller of stopping one of its groups, besides the lost work.
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -4,9 +4,9 @@
 
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
-    clear,
+    assignment::{Demand, Reach},
+    preempt,
     reserve::{Reservation, Running},
-    seat::{Ask, Reach},
 };
 
 use crate::{event::Moment, group::Group, planner::Planner, pool::Pool, table::Entry};
@@ -22,7 +22,7 @@
         &self,
         now: Moment,
         pool: &mut Pool,
-        demand: &Ask,
+        demand: &Demand,
         reach: Reach,
         guaranteed: &BTreeSet<JobId>,
     ) {
@@ -34,11 +34,11 @@
             return;
         }
         self.look_up_candidates(now, pool, guaranteed);
-        let remaining = |candidate: &clear::Candidate| {
+        let remaining = |candidate: &preempt::Candidate| {
             if candidate.is_stopping { self.options.stop_timeout } else { candidate.remaining }
         };
         let running: Vec<Running<'_>> = (pool.candidates.iter())
-            .map(|it| Running { remaining: remaining(it), seats: &it.victim.seats })
+            .map(|it| Running { remaining: remaining(it), released: &it.victim.released })
             .collect();
         let reservation = Reservation::new(&mut pool.places, &running, demand, reach);
         pool.reservations.push(reservation);
--- a/crates/planner/src/supply.rs
+++ b/crates/planner/src/supply.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use sapphire_jobs::{Backlog, Step, Supply, room::Room};
+use sapphire_jobs::{Backlog, Step, Supply, resources::Resources};
 
 use crate::{event::Moment, group::Phase, planner::Planner, table::Entry, worker::Worker};
 
@@ -23,7 +23,7 @@
 }
 
 impl Amount {
-    fn of(resources: Room, times: f64) -> Self {
+    fn of(resources: Resources, times: f64) -> Self {
         Amount {
             millicores: resources.millicores as f64 * times,
             memory_mib: resources.memory_mib as f64 * times,
@@ -49,7 +49,7 @@
 /// Sums for one service.
 #[derive(Default)]
 struct Totals {
-    largest: Room,
+    largest: Resources,
     /// Resources of all workers that are not draining.
     capacity: Amount,
     /// Resources of long-running tasks.
@@ -73,7 +73,7 @@
             let Some(minion) = &worker.incarnation else { continue };
             let sum = totals.entry(&minion.service).or_default();
             let resources = worker.capacity();
-            sum.largest = sum.largest.most(resources);
+            sum.largest = sum.largest.component_max(resources);
             if !minion.is_draining {
                 sum.capacity.add(Amount::of(resources, 1.0));
             }
@@ -105,10 +105,10 @@
         let workers = self.workers.values().filter(|worker| {
             worker.incarnation.as_ref().is_some_and(|minion| minion.service == service)
         });
-        let capacities: Vec<Room> = workers.map(Worker::capacity).collect();
+        let capacities: Vec<Resources> = workers.map(Worker::capacity).collect();
         let fits = |step: &Step| {
-            let resources = Room::read(step.room.as_ref());
-            capacities.iter().map(|worker| u64::from(worker.holds(resources))).sum()
+            let resources = Resources::read(step.room.as_ref());
+            capacities.iter().map(|worker| u64::from(worker.count_fitting(resources))).sum()
         };
         let step_capacity = entry.job.steps.iter().map(fits).collect();
         if let Some(entry) = self.table.entries.get_mut(id) {
@@ -122,7 +122,7 @@
         for (key, group) in &entry.groups {
             let Some(step) = entry.step(key.step) else { continue };
             let tasks = f64::from(if step.is_gang { step.tasks } else { 1 });
-            let resources = Room::read(step.room.as_ref());
+            let resources = Resources::read(step.room.as_ref());
             let time = self.expected_run_time(entry, key.step).as_secs_f64();
             match group.phase {
                 Phase::Done | Phase::Failed => {}
@@ -138,7 +138,7 @@
 impl Totals {
     fn supply(self, service: &str) -> Option<Supply> {
         let available = 1.0 - self.long_running.share(&self.capacity);
-        if self.largest == Room::default() || available <= 0.0 {
+        if self.largest == Resources::default() || available <= 0.0 {
             return None;
         }
         let mut sum = Amount::default();
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -7,11 +7,11 @@
 
 use sapphire_jobs::{
     Progress, State, Step, Tally, length,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task},
 };
 use sapphire_plan::{
-    estimate::Seen,
+    estimate::Sample,
     waves::{self, Width},
 };
 
@@ -78,7 +78,7 @@
     /// while not known.
     pub step_capacity: Vec<u64>,
     /// Observed run times of the tasks of each step.
-    pub step_samples: Vec<Option<Seen>>,
+    pub step_samples: Vec<Option<Sample>>,
 }
 
 impl Entry {
@@ -243,7 +243,7 @@
     pub fn accelerators(&self) -> u64 {
         let first = self.job.steps.iter().filter(|step| step.after.is_empty());
         let accelerators =
-            |step: &Step| Room::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
+            |step: &Step| Resources::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
         first.map(accelerators).sum()
     }
 
@@ -252,7 +252,7 @@
     pub fn remaining_path(&self, run_time: impl Fn(u32) -> Duration) -> Duration {
         let last = self.occurrences.saturating_sub(1);
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = Width { tasks: self.unfinished_tasks(last, index), ..self.width(index) };
             index += 1;
             if width.tasks == 0 {
@@ -267,7 +267,7 @@
     /// its caller must allow for.
     pub fn critical_path(&self, run_time: impl Fn(u32) -> Duration) -> Duration {
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = self.width(index);
             index += 1;
             run_time(index - 1) * waves::allowed(width)
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -4,10 +4,9 @@
 
 use sapphire_jobs::task::{GroupKey, JobId};
 use sapphire_plan::{
-    clear::{self, Choice},
-    rank,
-    seat::{Ask, Reach, Seat},
-    wait, waves,
+    assignment::{Assignment, Demand, Reach},
+    preempt::{self, Choice},
+    rank, wait, waves,
 };
 
 use crate::{
@@ -34,7 +33,7 @@
     /// The group's job.
     pub(crate) id: &'a str,
     pub(crate) key: &'a GroupKey,
-    pub(crate) demand: &'a Ask,
+    pub(crate) demand: &'a Demand,
     pub(crate) reach: Reach,
     /// The job is within its organisation's guarantee.
     pub(crate) is_guaranteed: bool,
@@ -42,8 +41,12 @@
 
 impl Urgent<'_> {
     /// Returns the group as the search for work to stop needs it.
-    fn to_plan(&self) -> clear::Urgent<'_> {
-        clear::Urgent { ask: self.demand, reach: self.reach, is_guaranteed: self.is_guaranteed }
+    fn to_plan(&self) -> preempt::Urgent<'_> {
+        preempt::Urgent {
+            demand: self.demand,
+            reach: self.reach,
+            is_guaranteed: self.is_guaranteed,
+        }
     }
 }
 
@@ -63,7 +66,7 @@
         let limit = if self.options.policy.weigh_waits { limit } else { Duration::ZERO };
         let stop = self.options.stop_timeout;
         let Pool { places, candidates, .. } = &*pool;
-        let choice = clear::weigh(places, candidates, urgent.to_plan(), &job, limit, stop);
+        let choice = preempt::weigh(places, candidates, urgent.to_plan(), &job, limit, stop);
         if let Some(choice) = choice {
             self.claim(now, pool, urgent, choice, false);
         }
@@ -109,7 +112,7 @@
         // Free resources need no stop, so the place that was chosen first is usually kept.
         let (stop, no_wait) = (self.options.stop_timeout, Duration::ZERO);
         let Pool { places, candidates, .. } = &*pool;
-        let choice = clear::choose(places, candidates, urgent.to_plan(), no_wait, stop);
+        let choice = preempt::choose(places, candidates, urgent.to_plan(), no_wait, stop);
         if let Some(choice) = choice {
             self.claim(now, pool, urgent, choice, true);
         }
@@ -125,9 +128,10 @@
         is_forced: bool,
     ) {
         let Urgent { id, key, demand, .. } = *urgent;
-        let Choice { wait, stops, seats, cost, .. } = choice;
-        let assignment = |seat: &Seat| (pool.places[seat.place].worker.to_string(), seat.tasks);
-        let assignments = seats.iter().map(assignment).collect();
+        let Choice { wait, stops, assignments, cost, .. } = choice;
+        let assignment =
+            |seat: &Assignment| (pool.places[seat.place].worker.to_string(), seat.tasks);
+        let assignments = assignments.iter().map(assignment).collect();
         let until = now.steady + wait.max(self.options.stop_timeout) + END_REPORT_DELAY;
         let claim = Claim { until, assignments };
         pool.apply_claim(&claim, demand);
@@ -170,7 +174,7 @@
         let limit = if urgent.is_guaranteed {
             self.options.reclaim_deadline.saturating_sub(age + self.options.stop_timeout + OVERHEAD)
         } else {
-            clear::LONGEST_WAIT
+            preempt::LONGEST_WAIT
         };
         Some((job, limit))
     }
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -10,7 +10,7 @@
     task::{GroupKey, Task, WorkerName},
 };
 use sapphire_plan::{
-    estimate::{Estimate, Seen},
+    estimate::{Estimate, Sample},
     pace::{self, Verdict},
 };
 
@@ -64,7 +64,7 @@
         }
         self.last_check = now.steady;
         let run_times = self.run_times();
-        let samples: Vec<(String, u32, Seen)> = (run_times.iter())
+        let samples: Vec<(String, u32, Sample)> = (run_times.iter())
             .filter_map(|((job, step), all)| Some(((*job).to_owned(), *step, median(all, None)?)))
             .collect();
         let findings = self.check_runs(now, &run_times);
@@ -123,7 +123,7 @@
     }
 
     /// Replaces the observed run times of the steps of open jobs.
-    fn record_samples(&mut self, samples: Vec<(String, u32, Seen)>) {
+    fn record_samples(&mut self, samples: Vec<(String, u32, Sample)>) {
         for id in &self.table.open {
             let Some(entry) = self.table.entries.get_mut(id) else { continue };
             entry.step_samples.clear();
@@ -191,7 +191,7 @@
         let own = track.best().map(|best| same_task(best / slowdown));
         match pace::judge(total, own, &comparisons) {
             (Verdict::Unknown, _) => None,
-            (Verdict::Sound, _) => Some(Finding::Normal),
+            (Verdict::Normal, _) => Some(Finding::Normal),
             (Verdict::Slow, expected) => {
                 let left = 1.0 - f64::from(run.percent.min(100)) / 100.0;
                 let here = (total * slowdown).mul_f64(left);
@@ -238,7 +238,7 @@
             earlier.map(|observed| same_task(observed.run_time)).into_iter().collect();
         let of_step = run_times.get(&(task.job.as_str(), task.step)).filter(|_| !step.is_gang);
         if let Some(sample) = of_step.and_then(|run_times| median(run_times, Some(name))) {
-            comparisons.push(Estimate::of_siblings(sample));
+            comparisons.push(Estimate::of_same_step(sample));
         }
         let kind = estimate_kind(entry, step);
         if self.estimates.knows_kind(kind) {
@@ -254,7 +254,7 @@
         match finding {
             Finding::Normal => {}
             Finding::Stalled { should_move } if policy.move_still => {
-                self.suspects.stands_still(name, now.steady);
+                self.suspects.stalled(name, now.steady);
                 if should_move {
                     self.move_away(now, name, task, Cause::Stalled, "is stalled");
                 }
@@ -305,12 +305,12 @@
 
 /// Returns the estimate for another run of the same task.
 fn same_task(centre: Duration) -> Estimate {
-    Estimate { centre, spread: pace::SAME_TASK }
+    Estimate { centre, spread: pace::SAME_TASK_SPREAD }
 }
 
 /// Returns the median run time of a step, not counting the worker `without`. Several runs on one
 /// worker count as one, the shortest: otherwise a slow worker would outweigh the others.
-fn median(run_times: &[RunTime<'_>], without: Option<&str>) -> Option<Seen> {
+fn median(run_times: &[RunTime<'_>], without: Option<&str>) -> Option<Sample> {
     let mut by_worker: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut all: Vec<Duration> = Vec::new();
     for time in run_times.iter().filter(|time| time.worker.is_none() || time.worker != without) {
@@ -325,11 +325,11 @@
     all.extend(by_worker.into_values());
     all.sort_unstable();
     let median = *all.get(all.len().checked_sub(1)? / 2)?;
-    Some(Seen { median, count: u32::try_from(all.len()).unwrap_or(u32::MAX) })
+    Some(Sample { median, count: u32::try_from(all.len()).unwrap_or(u32::MAX) })
 }
 
 /// Returns whether a run that should have made progress since a time has made none.
 fn is_stalled(run: &Run, since: Duration, now: Duration, expected: Duration) -> bool {
-    let limit = pace::still_after(run.track.and_then(|track| track.best()), expected);
+    let limit = pace::stall_timeout(run.track.and_then(|track| track.best()), expected);
     run.stalled_lists >= STALLED_LISTS && now > since + limit
 }
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -4,7 +4,7 @@
 
 use sapphire_jobs::{
     Incarnation, Orders, Rejection, Running,
-    room::Room,
+    resources::Resources,
     task::{JobId, RunNumber, Task},
 };
 
@@ -71,7 +71,7 @@
     /// Number of the run.
     pub number: RunNumber,
     /// Resources that it takes.
-    pub resources: Room,
+    pub resources: Resources,
     /// Phase of the run.
     pub phase: Phase,
     /// The stop of the run, once it has been decided.
@@ -157,18 +157,18 @@
 
 impl Worker {
     /// Returns the resources of the worker; nothing while its minion is not known.
-    pub fn capacity(&self) -> Room {
+    pub fn capacity(&self) -> Resources {
         let resources =
             self.incarnation.as_ref().and_then(|incarnation| incarnation.capacity.as_ref());
-        Room::read(resources)
+        Resources::read(resources)
     }
 
     /// Returns the resources of all runs that are ordered, running or being stopped.
     ///
     /// Guards against overloading a minion that does not refuse tasks beyond its capacity: a task
     /// that is being stopped, or whose start is unanswered, still takes its resources.
-    pub fn used(&self) -> Room {
-        self.runs.values().fold(Room::default(), |sum, run| sum.plus(run.resources))
+    pub fn used(&self) -> Resources {
+        self.runs.values().fold(Resources::default(), |sum, run| sum.plus(run.resources))
     }
 
     /// Returns whether the worker may be given tasks.
@@ -223,7 +223,7 @@
             run.last_progress = now;
             run.stalled_lists = 0;
             let track = run.track.get_or_insert(pace::Track::new(now, running.percent));
-            track.note(now, running.percent, gap);
+            track.record(now, running.percent, gap);
         } else if is_new_list {
             run.stalled_lists += 1;
         }
@@ -241,7 +241,7 @@
     /// Returns a run of which only the number, the resources, the phase and the progress are known.
     pub fn new(
         number: RunNumber,
-        resources: Room,
+        resources: Resources,
         phase: Phase,
         percent: u32,
         now: Duration,
