--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Room that a pass keeps for the first group that finds none.
+//! Reserves resources for groups that wait.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -9,41 +9,45 @@
     reserve::{Reservation, Running},
 };
 
-use crate::{board::Board, event::Moment, group::Group, planner::Planner, table::Entry};
+use crate::{event::Moment, group::Group, planner::Planner, pool::Pool, table::Entry};
 
-/// Room is kept for one group for each so many workers, and for one at least.
-const RESERVED_OF: usize = 10;
+/// Number of workers for each group that may hold a reservation; one group may hold one in any
+/// case.
+const WORKERS_PER_RESERVATION: usize = 10;
 
 impl Planner {
-    /// Keeps room for a group that finds none, unless some is kept for another.
+    /// Reserves resources for a group that cannot start, unless there are enough reservations
+    /// already.
     pub(crate) fn reserve(
         &self,
         now: Moment,
-        board: &mut Board,
-        ask: &Demand,
+        pool: &mut Pool,
+        demand: &Demand,
         reach: Reach,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        // A group that avoids workers waits for others, and its siblings may use those meanwhile.
-        let is_off = !self.options.policy.reserve_room || !ask.avoid.is_empty();
-        let most = (board.places.len() / RESERVED_OF).max(1);
-        if is_off || board.reservations.len() >= most {
+        // A group that avoids workers waits for the others; meanwhile other groups may use those
+        // that it avoids.
+        let is_off = !self.options.policy.reserve_room || !demand.avoid.is_empty();
+        let limit = (pool.places.len() / WORKERS_PER_RESERVATION).max(1);
+        if is_off || pool.reservations.len() >= limit {
             return;
         }
-        self.look_up_candidates(now, board, guaranteed);
+        self.look_up_candidates(now, pool, guaranteed);
         let remaining = |candidate: &preempt::Candidate| {
-            if candidate.is_stopping { self.options.stop } else { candidate.remaining }
+            if candidate.is_stopping { self.options.stop_timeout } else { candidate.remaining }
         };
-        let running: Vec<Running<'_>> = (board.candidates.iter())
+        let running: Vec<Running<'_>> = (pool.candidates.iter())
             .map(|it| Running { remaining: remaining(it), released: &it.victim.released })
             .collect();
-        let reservation = Reservation::new(&mut board.places, &running, ask, reach);
-        board.reservations.push(reservation);
+        let reservation = Reservation::new(&mut pool.places, &running, demand, reach);
+        pool.reservations.push(reservation);
     }
 
-    /// The longest time that a group's run may well take.
-    pub(crate) fn longest_run(&self, entry: &Entry, key: &GroupKey) -> Duration {
-        let shown = entry.groups.get(key).and_then(Group::known);
-        shown.map_or_else(|| self.estimate(entry, key.step).upper(), |shown| shown.whole)
+    /// Returns an upper estimate of a group's run time.
+    pub(crate) fn upper_run_time(&self, entry: &Entry, key: &GroupKey) -> Duration {
+        let observed = entry.groups.get(key).and_then(Group::reliable_observation);
+        observed
+            .map_or_else(|| self.estimate(entry, key.step).upper(), |observed| observed.run_time)
     }
 }
--- a/crates/planner/src/state/startup.rs
+++ b/crates/planner/src/state/startup.rs
@@ -1,4 +1,4 @@
-//! How far the beginning of a term has come.
+//! State of the start of a term.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,7 +8,7 @@
 use sapphire_jobs::{Fleet, Member, task::WorkerName};
 use sapphire_store::call::{Item, Revision};
 
-/// How far a term has come.
+/// Phase of the start of a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Reading,
@@ -16,31 +16,31 @@
     Serving,
 }
 
-/// How far the beginning has come.
+/// State of the start of a term.
 pub(crate) struct Startup {
     pub(crate) phase: Phase,
     pub(crate) began: Duration,
     pub(crate) items: Vec<Item>,
-    /// Revision of the store at the first page; none before it has come.
-    pub(crate) first: Option<Revision>,
-    /// When the page that had no answer is asked for again.
-    pub(crate) again_at: Option<Duration>,
-    /// Number of this term among all terms.
-    pub(crate) terms: u32,
+    /// Revision of the store at the first page; `None` before that page has arrived.
+    pub(crate) first_revision: Option<Revision>,
+    /// Time at which a page that got no reply is read again.
+    pub(crate) retry_at: Option<Duration>,
+    /// Ordinal number of this term, counted over all planners.
+    pub(crate) term_number: u32,
     pub(crate) fleet_revision: Revision,
-    /// Workers that the store is to name.
+    /// Workers that the stored list should contain, with the addresses of their agents.
     pub(crate) members: BTreeMap<WorkerName, String>,
-    /// Workers that the store names for certain.
+    /// Workers that the stored list is known to contain.
     pub(crate) recorded: BTreeSet<WorkerName>,
-    /// Workers that the write under way names.
+    /// Workers in the list that is being written.
     pub(crate) recording: BTreeSet<WorkerName>,
-    /// Workers that earlier planners gave work to and that have not been heard of since.
-    pub(crate) unheard: Vec<WorkerName>,
-    /// The store's list of workers is out of date.
+    /// Workers that earlier planners gave tasks to and that have not been accounted for yet.
+    pub(crate) unaccounted: Vec<WorkerName>,
+    /// The stored list of workers is out of date.
     pub(crate) is_fleet_dirty: bool,
     pub(crate) is_writing_fleet: bool,
-    /// All that earlier planners ordered is accounted for.
-    pub(crate) is_settled: bool,
+    /// All orders of earlier planners are accounted for.
+    pub(crate) is_recovered: bool,
 }
 
 impl Startup {
@@ -49,17 +49,17 @@
             phase: Phase::Reading,
             began: now,
             items: Vec::new(),
-            first: None,
-            again_at: None,
-            terms: 0,
+            first_revision: None,
+            retry_at: None,
+            term_number: 0,
             fleet_revision: 0,
             members: BTreeMap::new(),
             recorded: BTreeSet::new(),
             recording: BTreeSet::new(),
-            unheard: Vec::new(),
+            unaccounted: Vec::new(),
             is_fleet_dirty: true,
             is_writing_fleet: false,
-            is_settled: false,
+            is_recovered: false,
         }
     }
 
@@ -67,26 +67,26 @@
         self.phase == Phase::Serving
     }
 
-    /// When the term began.
+    /// Returns the time at which the term began.
     pub(crate) fn began(&self) -> Duration {
         self.began
     }
 
-    pub(crate) fn is_settled(&self) -> bool {
-        self.is_settled
+    pub(crate) fn is_recovered(&self) -> bool {
+        self.is_recovered
     }
 
-    /// Whether a successor will know that it has to hear of a worker.
+    /// Returns whether a successor would know that it has to account for a worker.
     pub(crate) fn is_recorded(&self, worker: &str) -> bool {
         self.recorded.contains(worker)
     }
 
-    /// The list of workers as it is stored.
+    /// Returns the list of workers in the form in which it is stored.
     pub(crate) fn fleet(&self) -> Fleet {
         let member = |(name, address): (&String, &String)| Member {
             name: name.clone(),
             address: address.clone(),
         };
-        Fleet { terms: self.terms, members: self.members.iter().map(member).collect() }
+        Fleet { terms: self.term_number, members: self.members.iter().map(member).collect() }
     }
 }
--- a/crates/planner/src/unanswered.rs
+++ b/crates/planner/src/unanswered.rs
@@ -1,4 +1,5 @@
-//! Starts without an answer, which a worker's minion, or its next life, may still carry out.
+//! Starts without an answer, which a worker's minion or a later incarnation of it may still carry
+//! out.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,43 +14,45 @@
 
 use crate::{event::Moment, options, worker::Worker};
 
-/// A task's start on a worker.
+/// An unanswered start of a task on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Start {
-    /// It is void from then on, as its agent tells.
+    /// Time at which it expires, as reported by the current process of its agent.
     reported: Option<Duration>,
-    /// The same as an earlier process of the agent told, or may have known.
-    kept: Option<Duration>,
-    /// The same as the record for a successor has it.
+    /// Time at which it expires, as reported by an earlier process of its agent, or as that process
+    /// may have known it.
+    retained: Option<Duration>,
+    /// Time at which it expires according to the handover record.
     recorded: Option<Duration>,
 }
 
 impl Start {
-    /// It is void from then on; none when it is void now.
-    fn until(&self) -> Option<Duration> {
-        self.reported.max(self.kept)
+    /// Returns the time at which it expires; `None` if it cannot be carried out any more.
+    fn expires_at(&self) -> Option<Duration> {
+        self.reported.max(self.retained)
     }
 
-    /// A successor would not wait for as long.
-    fn is_news(&self) -> bool {
-        self.until() > self.recorded.map(|until| until + options::MARGIN)
+    /// Returns whether a successor would not wait for as long as necessary.
+    fn has_changes(&self) -> bool {
+        self.expires_at() > self.recorded.map(|until| until + options::TIMING_MARGIN)
     }
 }
 
-/// What is known of one worker.
+/// Unanswered starts of one worker.
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// Name of the minion that the starts were meant for, once it is known.
+    /// Name of the minion that the starts were sent to, once it is known.
     minion: Option<String>,
     tasks: BTreeSet<Task>,
 }
 
-/// Starts on all workers.
+/// Unanswered starts on all workers.
 ///
-/// Guards against a task that runs twice: a stop that was answered, a later run or a token bars
-/// an earlier start in one life of a minion. When that life ends, the next one carries the start
-/// out unless it has seen a token by then. So a task with such a start goes nowhere else until the
-/// start is void: where its worker's minion ends, what it ran there ends as well.
+/// Guards against a task that runs twice. A stop that was answered, a later run or a token
+/// fences an earlier start in one incarnation of a minion only. The next incarnation carries the
+/// start out unless it has seen a token by then. So a task with such a start is placed on no
+/// other worker until the start has expired. On the same worker it may be placed, since its runs
+/// there end with the minion's incarnation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Starts {
     by_task: BTreeMap<Task, BTreeMap<WorkerName, Start>>,
@@ -57,59 +60,61 @@
 }
 
 impl Starts {
-    /// Takes what an agent tells of the starts that it sent to minions of one name.
+    /// Handles an agent's report on the unanswered starts that it sent to minions of one name.
     pub(crate) fn report(&mut self, now: Duration, worker: &str, rows: &[Unanswered]) {
-        self.each(worker, |start| start.reported = None);
+        self.for_each_start(worker, |start| start.reported = None);
         for row in rows {
             let Some(run) = &row.run else { continue };
-            let left = options::LATEST_START.saturating_sub(Duration::from_millis(row.age_ms));
+            let left = options::START_EXPIRY.saturating_sub(Duration::from_millis(row.age_ms));
             let start = self.start(worker, Task::read(run));
             start.reported = start.reported.max(Some(now + left));
         }
         self.prune(worker);
     }
 
-    /// The process of an agent is gone, with what it knew of the starts on its worker.
-    pub(crate) fn keep(&mut self, now: Duration, name: &str, worker: &Worker) {
-        self.each(name, |start| start.kept = start.until());
+    /// Keeps the starts of a worker whose agent's process is lost, along with what that process
+    /// knew of them.
+    pub(crate) fn retain_lost(&mut self, now: Duration, name: &str, worker: &Worker) {
+        self.for_each_start(name, |start| start.retained = start.expires_at());
         for (task, _) in worker.runs.iter().filter(|(_, run)| !run.is_started) {
-            self.start(name, task.clone()).kept = Some(now + options::LATEST_START);
+            self.start(name, task.clone()).retained = Some(now + options::START_EXPIRY);
         }
     }
 
-    /// A worker has a minion of this name: it turns away what names another.
-    pub(crate) fn meet(&mut self, worker: &str, minion: &str) {
+    /// Records the name of a worker's minion. A minion rejects calls that name another one, so that
+    /// the starts sent to another name can no longer be carried out.
+    pub(crate) fn set_minion(&mut self, worker: &str, minion: &str) {
         if self.minion(worker) == Some(minion) {
             return;
         }
         let record = self.by_worker.entry(worker.to_owned()).or_default();
         if record.minion.replace(minion.to_owned()).is_some() {
-            self.each(worker, |start| *start = Start::default());
+            self.for_each_start(worker, |start| *start = Start::default());
             self.prune(worker);
         }
     }
 
-    /// Forgets starts that are void.
+    /// Removes starts that have expired.
     pub(crate) fn expire(&mut self, now: Duration) {
         if self.by_task.is_empty() {
             return;
         }
         let workers: Vec<WorkerName> = self.by_worker.keys().cloned().collect();
         for worker in workers {
-            self.each(&worker, |start| {
+            self.for_each_start(&worker, |start| {
                 start.reported = start.reported.filter(|until| now < *until);
-                start.kept = start.kept.filter(|until| now < *until);
+                start.retained = start.retained.filter(|until| now < *until);
             });
             self.prune(&worker);
         }
     }
 
-    /// Whether the record for a successor lacks something.
+    /// Returns whether the handover record is out of date.
     pub(crate) fn is_dirty(&self) -> bool {
-        self.by_task.values().flat_map(BTreeMap::values).any(Start::is_news)
+        self.by_task.values().flat_map(BTreeMap::values).any(Start::has_changes)
     }
 
-    /// What a successor is to know.
+    /// Returns the handover record for a successor.
     pub(crate) fn record(&mut self, now: Moment) -> UnansweredStarts {
         let mut workers = Vec::new();
         for (worker, record) in &self.by_worker {
@@ -119,7 +124,7 @@
                 let Some(start) = starts.and_then(|starts| starts.get_mut(worker)) else {
                     continue;
                 };
-                let Some(until) = start.until() else { continue };
+                let Some(until) = start.expires_at() else { continue };
                 start.recorded = Some(until);
                 let until = now.unix + until.saturating_sub(now.steady);
                 tasks.push(UnansweredTask {
@@ -138,13 +143,13 @@
         UnansweredStarts { workers }
     }
 
-    /// The record is not as it was written, for all that is known.
-    pub(crate) fn forget_record(&mut self) {
+    /// Marks the stored record as unknown, so that it is written again.
+    pub(crate) fn invalidate_record(&mut self) {
         let starts = self.by_task.values_mut().flat_map(BTreeMap::values_mut);
         starts.for_each(|start| start.recorded = None);
     }
 
-    /// Takes over the record of an earlier planner, whose clock may differ.
+    /// Restores the handover record of an earlier planner, whose clock may differ.
     pub(crate) fn restore(&mut self, now: Moment, starts: UnansweredStarts) {
         for UnansweredOn { worker, minion, tasks } in starts.workers {
             let is_other = self.minion(&worker).is_some_and(|known| known != minion);
@@ -152,13 +157,13 @@
                 continue;
             }
             for task in tasks {
-                let until = Duration::from_millis(task.until_ms) + options::CLOCK_SKEW;
-                let left = until.saturating_sub(now.unix).min(options::LATEST_START);
+                let until = Duration::from_millis(task.until_ms) + options::MAX_CLOCK_SKEW;
+                let left = until.saturating_sub(now.unix).min(options::START_EXPIRY);
                 let UnansweredTask { job, occurrence, step, index, .. } = task;
                 let task = Task { job, occurrence, step, index };
                 let start = self.start(&worker, task);
-                start.kept = (!left.is_zero()).then_some(now.steady + left);
-                start.recorded = start.kept;
+                start.retained = (!left.is_zero()).then_some(now.steady + left);
+                start.recorded = start.retained;
             }
             self.prune(&worker);
             if let Some(record) = self.by_worker.get_mut(&worker)
@@ -169,12 +174,13 @@
         }
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no unanswered starts.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_task.is_empty()
     }
 
-    /// Workers that may still carry out a start, for each task in a range that has one.
+    /// Returns the tasks in a range that have unanswered starts, with the workers that may still
+    /// carry them out.
     pub(crate) fn range(
         &self,
         tasks: Range<&Task>,
@@ -182,17 +188,20 @@
         self.by_task.range::<Task, _>(tasks).map(|(task, starts)| (task, starts.keys()))
     }
 
+    /// Returns the name of a worker's minion, if known.
     fn minion(&self, worker: &str) -> Option<&str> {
         self.by_worker.get(worker)?.minion.as_deref()
     }
 
+    /// Returns the start of a task on a worker; adds it if there is none.
     fn start(&mut self, worker: &str, task: Task) -> &mut Start {
         let record = self.by_worker.entry(worker.to_owned()).or_default();
         record.tasks.insert(task.clone());
         self.by_task.entry(task).or_default().entry(worker.to_owned()).or_default()
     }
 
-    fn each(&mut self, worker: &str, change: impl Fn(&mut Start)) {
+    /// Applies a change to all starts of a worker.
+    fn for_each_start(&mut self, worker: &str, change: impl Fn(&mut Start)) {
         let Some(record) = self.by_worker.get(worker) else { return };
         for task in &record.tasks {
             let start = self.by_task.get_mut(task).and_then(|starts| starts.get_mut(worker));
@@ -200,13 +209,13 @@
         }
     }
 
-    /// Removes what is void on a worker.
+    /// Removes the expired starts of a worker.
     fn prune(&mut self, worker: &str) {
         let Some(record) = self.by_worker.get_mut(worker) else { return };
         let by_task = &mut self.by_task;
         record.tasks.retain(|task| {
             let Some(starts) = by_task.get_mut(task) else { return false };
-            if starts.get(worker).is_some_and(|start| start.until().is_some()) {
+            if starts.get(worker).is_some_and(|start| start.expires_at().is_some()) {
                 return true;
             }
             starts.remove(worker);
--- a/crates/planner/src/urgent.rs
+++ b/crates/planner/src/urgent.rs
@@ -1,4 +1,4 @@
-//! Room for urgent groups: what is stopped for them, and what they wait for instead.
+//! Resources for urgent groups: which work is stopped for them, and which they wait for instead.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -10,63 +10,71 @@
 };
 
 use crate::{
-    board::Board,
     event::Moment,
     group::{Claim, Group},
     planner::Planner,
+    pool::Pool,
     table::step_groups,
     worker::Cause,
 };
 
-/// Time from a decision to the start of a task and from its end to the caller's view of it.
+/// Time from a decision to the start of a task, together with the time from its end until its
+/// caller sees it.
 const OVERHEAD: Duration = Duration::from_millis(300);
-/// Time from an end to the planner's knowledge of it, beside the end itself: two messages between
-/// regions and the minion's list.
-const SETTLING: Duration = Duration::from_millis(250);
-/// Stopped groups that one log line names at most; the others have a line at their end.
-const NAMED_STOPS: usize = 8;
+/// Time from the end of a run until the planner knows of it: two messages between regions and the
+/// interval of the minion's lists.
+const END_REPORT_DELAY: Duration = Duration::from_millis(250);
+/// Maximum number of stopped groups that are named in one log line; the others are logged when they
+/// end.
+const MAX_LOGGED_STOPS: usize = 8;
 
-/// An urgent group without room.
+/// An urgent group that finds no free resources.
 pub(crate) struct Urgent<'a> {
-    /// Its job.
+    /// The group's job.
     pub(crate) id: &'a str,
     pub(crate) key: &'a GroupKey,
-    pub(crate) ask: &'a Demand,
+    pub(crate) demand: &'a Demand,
     pub(crate) reach: Reach,
-    /// Its job is within its organisation's guarantee.
+    /// The job is within its organisation's guarantee.
     pub(crate) is_guaranteed: bool,
 }
 
 impl Urgent<'_> {
-    fn of_plan(&self) -> preempt::Urgent<'_> {
-        preempt::Urgent { demand: self.ask, reach: self.reach, is_guaranteed: self.is_guaranteed }
+    /// Returns the group as the search for work to stop needs it.
+    fn to_plan(&self) -> preempt::Urgent<'_> {
+        preempt::Urgent {
+            demand: self.demand,
+            reach: self.reach,
+            is_guaranteed: self.is_guaranteed,
+        }
     }
 }
 
 impl Planner {
-    /// Stops the cheapest groups that give room to an urgent one, or waits for their end where
-    /// that comes soon enough.
-    pub(crate) fn make_room(
+    /// Stops the cheapest groups that release resources for an urgent one, or waits for them to end
+    /// by themselves if that is soon enough.
+    pub(crate) fn free_resources(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         urgent: &Urgent<'_>,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        self.look_up_candidates(now, board, guaranteed);
+        self.look_up_candidates(now, pool, guaranteed);
         self.load.searches += 1;
-        let Some((job, limit)) = self.wait_terms(now, urgent) else { return };
+        let Some((job, limit)) = self.wait_parameters(now, urgent) else { return };
         let limit = if self.options.policy.weigh_waits { limit } else { Duration::ZERO };
-        let stop = self.options.stop;
-        let Board { places, candidates, .. } = &*board;
-        let choice = preempt::weigh(places, candidates, urgent.of_plan(), &job, limit, stop);
+        let stop = self.options.stop_timeout;
+        let Pool { places, candidates, .. } = &*pool;
+        let choice = preempt::weigh(places, candidates, urgent.to_plan(), &job, limit, stop);
         if let Some(choice) = choice {
-            self.claim(now, board, urgent, choice, false);
+            self.claim(now, pool, urgent, choice, false);
         }
     }
 
-    /// Whether an urgent job needs more of its tasks at work to end in time, as a whole.
-    pub(crate) fn needs_more(&self, now: Moment, id: &str, key: &GroupKey) -> bool {
+    /// Returns whether more tasks of an urgent step must run at the same time for the job to be
+    /// complete in time.
+    pub(crate) fn needs_more_tasks(&self, now: Moment, id: &str, key: &GroupKey) -> bool {
         if !self.options.policy.limit_urgent {
             return true;
         }
@@ -74,9 +82,10 @@
         let groups = || entry.groups.range(step_groups(key.occurrence, key.step));
         let is_served = |group: &Group| group.active().is_some() || group.claim.is_some();
         let served = groups().filter(|(_, group)| is_served(group)).count();
-        let tasks = entry.tasks_left(key.occurrence, key.step);
-        let each = self.expect(entry, key.step);
-        let later = entry.remaining(|step| self.expect(entry, step)).saturating_sub(each);
+        let tasks = entry.unfinished_tasks(key.occurrence, key.step);
+        let each = self.expected_run_time(entry, key.step);
+        let later =
+            entry.remaining_path(|step| self.expected_run_time(entry, step)).saturating_sub(each);
         let spent = Self::age(entry, now) + OVERHEAD + later;
         let objective = self.objective(entry);
         let useful = objective * rank::USEFUL_OBJECTIVES;
@@ -85,55 +94,57 @@
         needed.is_some_and(|needed| served < needed as usize)
     }
 
-    /// Work that was to end by itself has not, or what has been freed was taken by others that go
-    /// first: stops what is in the way now, without another wait.
+    /// Stops the work that is in the way now, without waiting again. Used when work that should
+    /// have ended by itself has not, or when released resources were taken by groups that go first.
     ///
-    /// Guards against an urgent group that never starts: with a new wait each time, what the
-    /// earlier ones have freed goes to others, and as much again is stopped elsewhere.
-    pub(crate) fn force_room(
+    /// Guards against an urgent group that never starts: if it waited anew each time, the resources
+    /// released by earlier stops would go to others, and as much work would be stopped again
+    /// elsewhere.
+    pub(crate) fn force_resources(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         urgent: &Urgent<'_>,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        self.look_up_candidates(now, board, guaranteed);
+        self.look_up_candidates(now, pool, guaranteed);
         self.load.searches += 1;
-        // What is free already needs no stop, so the place that was chosen first is mostly kept.
-        let (stop, now_or_never) = (self.options.stop, Duration::ZERO);
-        let Board { places, candidates, .. } = &*board;
-        let choice = preempt::choose(places, candidates, urgent.of_plan(), now_or_never, stop);
+        // Free resources need no stop, so the place that was chosen first is usually kept.
+        let (stop, no_wait) = (self.options.stop_timeout, Duration::ZERO);
+        let Pool { places, candidates, .. } = &*pool;
+        let choice = preempt::choose(places, candidates, urgent.to_plan(), no_wait, stop);
         if let Some(choice) = choice {
-            self.claim(now, board, urgent, choice, true);
+            self.claim(now, pool, urgent, choice, true);
         }
     }
 
-    /// Keeps room for an urgent group, and stops what is in the way.
+    /// Claims resources for an urgent group, and stops the work that occupies them.
     fn claim(
         &mut self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         urgent: &Urgent<'_>,
         choice: Choice,
         is_forced: bool,
     ) {
-        let Urgent { id, key, ask, .. } = *urgent;
+        let Urgent { id, key, demand, .. } = *urgent;
         let Choice { wait, stops, assignments, cost, .. } = choice;
-        let seat = |seat: &Assignment| (board.places[seat.place].worker.to_string(), seat.tasks);
-        let seats = assignments.iter().map(seat).collect();
-        let until = now.steady + wait.max(self.options.stop) + SETTLING;
-        let claim = Claim { until, seats };
-        board.take_claim(&claim, ask);
+        let assignment =
+            |seat: &Assignment| (pool.places[seat.place].worker.to_string(), seat.tasks);
+        let assignments = assignments.iter().map(assignment).collect();
+        let until = now.steady + wait.max(self.options.stop_timeout) + END_REPORT_DELAY;
+        let claim = Claim { until, assignments };
+        pool.apply_claim(&claim, demand);
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         if let Some(group) = entry.groups.get_mut(key) {
             group.claim = Some(claim);
         }
         let mut stopped = Vec::new();
         for at in stops {
-            board.candidates[at].is_stopping = true;
-            stopped.push(board.candidate(at));
+            pool.candidates[at].is_stopping = true;
+            stopped.push(pool.candidate(at));
         }
-        let names: Vec<String> = stopped.iter().take(NAMED_STOPS).map(describe).collect();
+        let names: Vec<String> = stopped.iter().take(MAX_LOGGED_STOPS).map(describe).collect();
         self.log(format!(
             "job={id} step={} index={} waits_ms={} forced={is_forced} stops={} first={} cost={cost:.0}",
             key.step,
@@ -147,21 +158,21 @@
         }
     }
 
-    /// What decides how long an urgent group waits for work to end by itself, and the longest
-    /// that it may.
-    fn wait_terms(&self, now: Moment, urgent: &Urgent<'_>) -> Option<(wait::Job, Duration)> {
+    /// Returns the parameters that decide how long an urgent group waits for work to end by itself,
+    /// and the maximum of that wait.
+    fn wait_parameters(&self, now: Moment, urgent: &Urgent<'_>) -> Option<(wait::Job, Duration)> {
         let entry = self.table.entries.get(urgent.id)?;
-        let terms = self.terms(entry);
+        let settings = self.queue_settings(entry);
         let age = Self::age(entry, now);
         let job = wait::Job {
             age,
             expected: self.estimate(entry, urgent.key.step),
             overhead: OVERHEAD,
-            slack: terms.slack,
-            latency: terms.target_latency,
+            slack: settings.slack,
+            latency: settings.target_latency,
         };
         let limit = if urgent.is_guaranteed {
-            self.options.reclaim.saturating_sub(age + self.options.stop + OVERHEAD)
+            self.options.reclaim_deadline.saturating_sub(age + self.options.stop_timeout + OVERHEAD)
         } else {
             preempt::LONGEST_WAIT
         };
@@ -169,7 +180,7 @@
     }
 }
 
-/// A group as a log line names it.
+/// Formats the key of a group for the log.
 fn describe((job, key): &(JobId, GroupKey)) -> String {
     format!("{job}/{}/{}/{}", key.occurrence, key.step, key.index)
 }
