--- a/crates/entry/src/backoff.rs
+++ b/crates/entry/src/backoff.rs
@@ -59,12 +59,12 @@
 
     /// Workers that are excluded from placement now.
     pub fn excluded_workers(&self, now: Duration) -> Vec<id::Worker> {
-        self.workers.keys().chain(self.health.aside(now)).cloned().collect()
+        self.workers.keys().chain(self.health.quarantined(now)).cloned().collect()
     }
 
     /// Quarantined workers: every task that they start fails.
     pub fn quarantined(&self, now: Duration) -> Vec<&id::Worker> {
-        self.health.aside(now).collect()
+        self.health.quarantined(now).collect()
     }
 
     /// Ends exclusions whose time is over. Returns whether any ended, so that placement may succeed
--- a/crates/entry/src/bindings.rs
+++ b/crates/entry/src/bindings.rs
@@ -14,7 +14,7 @@
 pub struct Bindings {
     bindings: Vec<Binding>,
     version: u64,
-    unmet: Vec<bind::Short>,
+    unmet: Vec<bind::Shortfall>,
     inputs: Option<(id::Revision, Vec<id::Worker>)>,
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// Guarantees that the available workers can't satisfy.
-    pub fn unmet(&self) -> &[bind::Short] {
+    pub fn unmet(&self) -> &[bind::Shortfall] {
         &self.unmet
     }
 
@@ -74,8 +74,8 @@
         let guarantees = context.rules.guarantees().filter(|(_, guarantee)| is_here(guarantee));
         let guarantees = guarantees.collect();
         let outcome = bind::bind(&bind::Options { guarantees, fleet, previous: &self.bindings });
-        outcome.short.iter().for_each(|unmet| log_unmet(unmet, out));
-        self.unmet = outcome.short;
+        outcome.shortfalls.iter().for_each(|unmet| log_unmet(unmet, out));
+        self.unmet = outcome.shortfalls;
         let has_changed = outcome.bindings != self.bindings;
         if has_changed {
             self.bindings = outcome.bindings;
@@ -117,7 +117,7 @@
 }
 
 /// Logs a guarantee that can't be satisfied.
-fn log_unmet(unmet: &bind::Short, out: &mut Output) {
+fn log_unmet(unmet: &bind::Shortfall, out: &mut Output) {
     out.log(
         LOG_PART,
         format!(
--- a/crates/entry/src/candidates.rs
+++ b/crates/entry/src/candidates.rs
@@ -42,14 +42,14 @@
         let job = table.get(&attempt.job)?;
         let assignments =
             attempt.assignments.values().filter(|assignment| assignment.final_state.is_none());
-        let assignments = assignments.map(|assignment| place::Seat {
+        let assignments = assignments.map(|assignment| place::Assignment {
             worker: assignment.worker.clone(),
             tasks: assignment.placement.tasks,
         });
         Some(pass::Running {
             organisation: job.organisation.clone(),
             shape: job.shape.unwrap_or_default(),
-            seats: assignments.collect(),
+            assignments: assignments.collect(),
             is_guaranteed: attempt.is_guaranteed,
             remaining: Estimates::remaining(estimates.expect(job), run_time(now, job)),
         })
--- a/crates/entry/src/overview.rs
+++ b/crates/entry/src/overview.rs
@@ -34,7 +34,7 @@
 
 impl Overview<'_> {
     /// Guarantees of a file that the known workers can't satisfy, over all regions.
-    fn unmet(&self, file: &file::File) -> Vec<bind::Short> {
+    fn unmet(&self, file: &file::File) -> Vec<bind::Shortfall> {
         let mut fleet = fleet::Fleet::default();
         let agents = self.registry.agents().values();
         let regions: BTreeSet<&str> = agents.map(|agent| agent.region.as_str()).collect();
@@ -44,7 +44,7 @@
             fleet.workers.extend(part.workers);
         }
         let guarantees = file.guarantees().collect();
-        bind::bind(&bind::Options { guarantees, fleet: &fleet, previous: &[] }).short
+        bind::bind(&bind::Options { guarantees, fleet: &fleet, previous: &[] }).shortfalls
     }
 
     /// Answer to a file with guarantees that the known workers can't satisfy; `None` if there are
@@ -221,7 +221,7 @@
         Answer::json(200, &json!({ "organisations": organisations.collect::<Vec<_>>() }))
     }
 }
-fn unmet_json(unmet: &bind::Short) -> serde_json::Value {
+fn unmet_json(unmet: &bind::Shortfall) -> serde_json::Value {
     json!({
         "line": unmet.line,
         "column": 1,
--- a/crates/entry/src/planner/mod.rs
+++ b/crates/entry/src/planner/mod.rs
@@ -171,7 +171,7 @@
     }
 
     /// Guarantees that the available workers can't satisfy.
-    pub fn unmet(&self) -> &[bind::Short] {
+    pub fn unmet(&self) -> &[bind::Shortfall] {
         self.bindings.unmet()
     }
 
--- a/crates/entry/src/planner/starts.rs
+++ b/crates/entry/src/planner/starts.rs
@@ -31,7 +31,7 @@
             {
                 let tasks = assignment.placement.tasks;
                 let own = attempt.is_guaranteed;
-                fleet.take(&assignment.worker, &job.organisation, &shape, tasks, own);
+                fleet.allocate(&assignment.worker, &job.organisation, &shape, tasks, own);
             }
         }
         fleet
@@ -113,7 +113,7 @@
         let id =
             format!("{}/{}.{}.{:x}", job.id, self.epoch.term, self.table.latest_change(), number);
         let mut assignments = BTreeMap::new();
-        for assignment in &outcome.seats {
+        for assignment in &outcome.assignments {
             let Some(agent) = context.registry.agent_of_worker(&assignment.worker) else { return };
             let agent = agent.peer.clone();
             let name = agent.name.clone();
@@ -126,7 +126,7 @@
             );
         }
         let workers: Vec<&str> =
-            outcome.seats.iter().map(|assignment| assignment.worker.as_str()).collect();
+            outcome.assignments.iter().map(|assignment| assignment.worker.as_str()).collect();
         out.log(
             LOG_PART,
             format!(
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,8 +1,10 @@
-//! Decisions about jobs as pure functions over plain state.
+//! Scheduling decisions about jobs: admission, order, placement, reservation, preemption and the
+//! detection of failing or slow workers. This crate does no I/O: all decisions are pure functions
+//! over plain state.
 
 pub mod admit;
+pub mod assignment;
 pub mod bind;
-pub mod clear;
 pub mod estimate;
 pub mod evict;
 pub mod fleet;
@@ -11,11 +13,11 @@
 pub mod pass;
 pub mod place;
 pub mod policy;
-pub mod queue;
+pub mod preempt;
 pub mod rank;
 pub mod reclaim;
 pub mod reserve;
-pub mod seat;
+pub mod size;
 pub mod suspect;
 pub mod wait;
 pub mod waves;
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decides where and when tasks run: the job table, the workers as their agents report them,
-//! take-over from an earlier planner, and what is made durable. No I/O and no clocks.
+//! Decides where and when tasks run. Keeps the job table and the state of the workers as their
+//! agents report it, takes over from an earlier planner, and makes progress durable. Does no I/O
+//! and reads no clocks.
 //!
-//! [`planner::Planner`] takes events and returns effects. One entry at a time has one, for the
-//! term for which it holds the planner's key in the store.
+//! [`planner::Planner`] takes events and returns effects. One entry at a time runs a planner, for
+//! the term in which it holds the leader key in the store.
 
 mod accept;
-mod board;
 mod commit;
 pub mod effect;
 mod ends;
@@ -15,19 +15,20 @@
 mod handover;
 mod intake;
 pub mod keys;
-mod ledger;
 pub mod load;
 pub mod options;
 mod pass;
-mod placing;
+mod placement;
 pub mod planner;
 mod polls;
+mod pool;
+mod queue;
+mod reconcile;
 mod reserve;
 mod startup;
 mod state;
 mod supply;
 pub mod table;
-mod terms;
 mod unanswered;
 mod urgent;
 mod watchdog;
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -22,17 +22,17 @@
     event::{Event, Moment},
     load::Load,
     options::{self, Options},
+    queue::Settings,
     state::{commits::Commits, feeds::Feeds, handover::Handover, intake::Intake, startup::Startup},
     table::{Entry, Table},
-    terms::Terms,
     unanswered,
     worker::{Cause, Phase, Stop, Worker},
 };
 
-/// A planner.
+/// The planner of one term: a state machine that handles events and returns effects.
 pub struct Planner {
     pub(crate) options: Options,
-    /// Revision of the planner's key.
+    /// Revision of the leader key, which numbers the term.
     pub(crate) term: u64,
     pub(crate) startup: Startup,
     pub(crate) catalog: Arc<Catalog>,
@@ -46,31 +46,32 @@
     /// Starts that may still be carried out.
     pub(crate) unanswered: unanswered::Starts,
     pub(crate) handover: Handover,
-    /// Jobs cancelled before they were known.
+    /// Jobs that were cancelled before they became known.
     pub(crate) early_cancels: BTreeSet<JobId>,
-    /// The newest configuration was this one, then.
-    pub(crate) proof: Option<(u64, Duration)>,
-    /// Something has changed that may let a group start.
+    /// Revision of the configuration that was last verified to be the newest, and the time of the
+    /// verification.
+    pub(crate) verified_catalog: Option<(u64, Duration)>,
+    /// A change since the latest pass may allow a group to start.
     pub(crate) needs_pass: bool,
     pub(crate) last_pass: Duration,
-    /// No pass begins before then.
+    /// Time before which no pass begins.
     pub(crate) next_pass: Duration,
     pub(crate) load: Load,
-    pub(crate) last_watch: Duration,
+    pub(crate) last_check: Duration,
     pub(crate) last_supplies: Duration,
-    /// Workers' room and open work, as entries are told.
+    /// Resources of the workers and open work, as reported to entries.
     pub(crate) supplies: Vec<Supply>,
     pub(crate) sessions: u64,
-    pub(crate) out: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
 }
 
-/// Longest time between two passes while something waits.
+/// Maximum interval between two passes while groups wait.
 const PASS_INTERVAL: Duration = Duration::from_millis(100);
-/// Least pause after a pass, in multiples of the time that it took.
-const PASS_PAUSE: u32 = 2;
+/// Minimum delay after a pass, in multiples of its duration.
+const PASS_DELAY_FACTOR: u32 = 2;
 
 impl Planner {
-    /// A planner for a term, which begins by reading the store.
+    /// Creates the planner of a term and begins to read the store.
     pub fn new(options: Options, term: u64, catalog: Arc<Catalog>, now: Moment) -> Self {
         let mut planner = Planner {
             options,
@@ -87,97 +88,98 @@
             unanswered: unanswered::Starts::default(),
             handover: Handover::default(),
             early_cancels: BTreeSet::new(),
-            proof: None,
+            verified_catalog: None,
             needs_pass: true,
             last_pass: Duration::ZERO,
             next_pass: Duration::ZERO,
             load: Load::default(),
-            last_watch: Duration::ZERO,
+            last_check: Duration::ZERO,
             last_supplies: Duration::ZERO,
             supplies: Vec::new(),
             sessions: 0,
-            out: Vec::new(),
+            effects: Vec::new(),
         };
         planner.begin();
         planner
     }
 
-    /// Its term.
+    /// Returns the term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Takes over changed bounds.
+    /// Replaces the options.
     pub fn set_options(&mut self, options: Options) {
         self.options = options;
     }
 
-    /// Jobs by identifier.
+    /// Returns the job table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Workers by name.
+    /// Returns the workers by name.
     pub fn workers(&self) -> &BTreeMap<WorkerName, Worker> {
         &self.workers
     }
 
-    /// What it has had to do so far.
+    /// Returns the work counters of this term.
     pub fn load(&self) -> Load {
         self.load
     }
 
-    /// Takes an event; returns what is to be done.
+    /// Handles an event and returns the effects to carry out.
     pub fn handle(&mut self, now: Moment, event: Event) -> Vec<Effect> {
-        self.take(now, event);
-        self.settle(now)
+        self.apply(now, event);
+        self.advance(now)
     }
 
-    /// Takes an event. What follows from it is done by the next [`Planner::settle`], so that
-    /// events that have come together cost one pass.
-    pub fn take(&mut self, now: Moment, event: Event) {
+    /// Applies an event. Its consequences follow with the next [`Planner::advance`], so that events
+    /// that arrive together cost one pass.
+    pub fn apply(&mut self, now: Moment, event: Event) {
         self.load.events += 1;
         match event {
-            Event::Poll(asker, poll) => self.poll(now, asker, *poll),
-            Event::Feed(asker, poll) => self.feed_poll(now, asker, poll),
-            Event::Notice(notice) => self.notice(now, notice),
-            Event::Left(asker) => self.left(asker),
-            Event::Store(operation, reply) => self.stored(now, operation, reply),
+            Event::Poll(requester, poll) => self.handle_poll(now, requester, *poll),
+            Event::Feed(requester, poll) => self.handle_feed_poll(now, requester, poll),
+            Event::Notice(notice) => self.handle_notice(now, notice),
+            Event::Disconnected(requester) => self.disconnected(requester),
+            Event::Store(operation, reply) => self.handle_reply(now, operation, reply),
             Event::Catalog(catalog) => {
                 self.catalog = catalog;
                 self.needs_pass = true;
             }
-            Event::Fresh { revision, at } => self.proof = Some((revision, at)),
+            Event::CatalogVerified { revision, at } => self.verified_catalog = Some((revision, at)),
             Event::Tick => self.tick(now),
         }
     }
 
-    /// Notes how long the latest pass took, up to a time. On a processor that is too slow for a
-    /// pass with each event, passes leave time for polls and callers.
-    pub fn pass_took(&mut self, until: Duration, took: Duration) {
-        self.next_pass = until + took * PASS_PAUSE;
+    /// Records the duration of the latest pass, which ended at `until`. On a processor that is too
+    /// slow for a pass with each event, passes thus leave time for polls and callers.
+    pub fn record_pass_duration(&mut self, until: Duration, duration: Duration) {
+        self.next_pass = until + duration * PASS_DELAY_FACTOR;
     }
 
+    /// Does the periodic work.
     fn tick(&mut self, now: Moment) {
         self.feeds.refresh(now.steady);
         self.expire_workers(now);
         self.unanswered.expire(now.steady);
         self.watch_progress(now);
-        self.sum_supplies(now);
-        self.materialise(now);
-        self.forget_ended(now);
-        self.scan_again(now);
-        self.ask_intake(now);
-        self.check_settled(now);
+        self.update_supplies(now);
+        self.add_due_occurrences(now);
+        self.remove_ended(now);
+        self.retry_scan(now);
+        self.read_intake(now);
+        self.check_recovered(now);
         self.write_fleet();
         if now.steady >= self.last_pass + PASS_INTERVAL {
             self.needs_pass |= !self.table.open.is_empty();
         }
     }
 
-    /// Does what follows from the events taken, a pass, writes, and answers that can be given now;
-    /// returns what is to be done.
-    pub fn settle(&mut self, now: Moment) -> Vec<Effect> {
+    /// Does what has become due after the applied events: a pass, writes, and answers to polls.
+    /// Returns the effects to carry out.
+    pub fn advance(&mut self, now: Moment) -> Vec<Effect> {
         if self.needs_pass && self.startup.is_serving() && now.steady >= self.next_pass {
             self.needs_pass = false;
             self.load.passes += 1;
@@ -188,31 +190,33 @@
         self.write_unanswered(now);
         self.answer_polls(now);
         self.answer_feeds(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
+    /// Adds a log line to the effects.
     pub(crate) fn log(&mut self, text: String) {
-        self.out.push(Effect::Log(text));
+        self.effects.push(Effect::Log(text));
     }
 
-    /// The terms of a job's queue: as configured now, else as they were at the acceptance.
-    pub(crate) fn terms(&self, entry: &Entry) -> Terms {
+    /// Returns the settings of a job's queue: as configured now, or as they were at the acceptance
+    /// if the queue has been removed.
+    pub(crate) fn queue_settings(&self, entry: &Entry) -> Settings {
         let job = &entry.job;
-        self.catalog.queue(&job.queue).map_or_else(|| Terms::accepted(job), Terms::of)
+        self.catalog.queue(&job.queue).map_or_else(|| Settings::accepted(job), Settings::of)
     }
 
-    /// The service whose minions run a job.
+    /// Returns the service whose minions run a job.
     pub(crate) fn service<'a>(&'a self, entry: &'a Entry) -> &'a str {
         let queue = self.catalog.queue(&entry.job.queue);
         queue.map_or(&entry.job.service, |queue| &queue.service)
     }
 
-    /// How long a step's tasks are expected to run.
-    pub(crate) fn expect(&self, entry: &Entry, step: u32) -> Duration {
+    /// Returns the expected run time of a step's tasks.
+    pub(crate) fn expected_run_time(&self, entry: &Entry, step: u32) -> Duration {
         self.estimate(entry, step).centre
     }
 
-    /// How long a step's tasks are expected to run, and how sure that is.
+    /// Estimates the run time of a step's tasks, with its uncertainty.
     pub(crate) fn estimate(&self, entry: &Entry, index: u32) -> Estimate {
         let Some(step) = entry.step(index) else { return Estimate::default() };
         let declared = length::declared(step);
@@ -222,35 +226,37 @@
         } else {
             Estimate::declared(declared)
         };
-        let seen = entry.seen.get(index as usize).copied().flatten();
-        of_kind.with_siblings(seen.filter(|_| policy.learn_siblings))
+        let sample = entry.step_samples.get(index as usize).copied().flatten();
+        of_kind.with_same_step(sample.filter(|_| policy.learn_siblings))
     }
 
-    /// Time within which a job's caller wants it.
+    /// Returns the time from its submission within which a job should be complete.
     pub(crate) fn objective(&self, entry: &Entry) -> Duration {
-        let terms = self.terms(entry);
-        let chain = entry.chain(|step| self.expect(entry, step));
-        chain.mul_f64(terms.slack.max(1.0)) + terms.target_latency
+        let settings = self.queue_settings(entry);
+        let critical_path = entry.critical_path(|step| self.expected_run_time(entry, step));
+        critical_path.mul_f64(settings.slack.max(1.0)) + settings.target_latency
     }
 
-    /// Time since a job's acceptance.
+    /// Returns the time since a job's submission.
     pub(crate) fn age(entry: &Entry, now: Moment) -> Duration {
-        now.steady.saturating_sub(entry.handed_in)
+        now.steady.saturating_sub(entry.submitted)
     }
 
-    /// Materialises occurrences that have become due.
-    fn materialise(&mut self, now: Moment) {
+    /// Adds the groups of occurrences that have become due.
+    fn add_due_occurrences(&mut self, now: Moment) {
         let open: Vec<JobId> = self.table.open.iter().cloned().collect();
         for id in open {
             let Some(entry) = self.table.entries.get_mut(&id) else { continue };
-            if entry.next_due().is_some_and(|due| due <= now.unix) && entry.materialise(now) {
+            if entry.next_due().is_some_and(|due| due <= now.unix) && entry.add_due_occurrences(now)
+            {
                 self.needs_pass = true;
                 self.log(format!("job={id} occurrence due"));
             }
         }
     }
 
-    /// Tells a task's minion to stop it, once it is known where it runs.
+    /// Orders a run to be stopped, unless it is no longer on the worker or is being stopped
+    /// already.
     pub(crate) fn stop(
         &mut self,
         now: Duration,
@@ -264,11 +270,11 @@
         if run.number == number && run.phase != Phase::Stopping {
             run.phase = Phase::Stopping;
             run.is_received = false;
-            run.stop.get_or_insert_with(|| Stop { cause: cause.clone(), since: now });
+            run.stop.get_or_insert_with(|| Stop { cause: cause.clone(), decided_at: now });
         }
     }
 
-    /// Stops all of a job that runs.
+    /// Stops all runs of a job.
     pub(crate) fn stop_job(&mut self, now: Duration, id: &str, cause: &Cause) {
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         let mut stops = Vec::new();
@@ -277,7 +283,7 @@
             group.claim = None;
             let Some(active) = group.active_mut() else { continue };
             active.is_stopping = true;
-            for (index, worker) in &active.left {
+            for (index, worker) in &active.unfinished {
                 let task = Task {
                     job: id.to_owned(),
                     occurrence: key.occurrence,
@@ -292,11 +298,12 @@
         }
     }
 
-    /// Forgets jobs that ended long ago.
-    fn forget_ended(&mut self, now: Moment) {
-        let keep = self.options.status + options::FEED_HOLD;
+    /// Removes jobs that ended long ago.
+    fn remove_ended(&mut self, now: Moment) {
+        let retention = self.options.status_retention + options::FEED_TIMEOUT;
         let is_old = |entry: &Entry| {
-            entry.ended.is_some_and(|ended| now.steady >= ended + keep) && entry.dirty.is_none()
+            entry.ended.is_some_and(|ended| now.steady >= ended + retention)
+                && entry.dirty.is_none()
         };
         let runs = |id: &str| {
             self.workers.values().any(|worker| worker.runs.keys().any(|task| task.job == id))
@@ -304,20 +311,20 @@
         let old: Vec<JobId> = (self.table.entries.iter())
             .filter(|(id, entry)| is_old(entry) && !runs(id))
             .map(|(id, _)| id.clone())
-            .take(FORGOTTEN_AT_ONCE)
+            .take(MAX_REMOVED_JOBS)
             .collect();
-        self.forget(old);
+        self.remove_jobs(old);
     }
 }
 
-/// Jobs whose three keys one write removes, within the 32 rows that the store takes.
-const FORGOTTEN_AT_ONCE: usize = 8;
+/// Maximum number of jobs that one write removes: each has three keys, and the store takes 32 rows.
+const MAX_REMOVED_JOBS: usize = 8;
 
-/// What run times of a step are learned by.
+/// Returns the kind of work under which run times of a step are learned.
 pub(crate) fn estimate_kind<'a>(
     entry: &'a Entry,
     step: &sapphire_jobs::Step,
 ) -> estimate::Kind<'a> {
-    let accelerators = step.room.as_ref().map_or(0, |room| room.accelerators).max(1);
+    let accelerators = step.room.as_ref().map_or(0, |resources| resources.accelerators).max(1);
     estimate::Kind { name: &entry.job.queue, size: accelerators.ilog2() }
 }
