--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -4,7 +4,7 @@
 
 use prost::Message as _;
 use sapphire_jobs::{
-    Job, Progress, Schedule, State, Step, catalog::Queue, length, room::Room, task::JobId,
+    Job, Progress, Schedule, State, Step, catalog::Queue, length, resources::Resources, task::JobId,
 };
 use sapphire_plan::admit;
 use sapphire_planner::keys;
@@ -53,7 +53,7 @@
             return;
         };
         let mut organisation = String::new();
-        if !queue.is_open {
+        if !queue.is_anonymous {
             // A key may have been revoked while this entry was partitioned from the store. The
             // limit on the age of the freshness check makes the entry refuse all keys before a
             // revoked one must stop being served.
@@ -322,9 +322,9 @@
 
 /// Properties of a job that decide whether it is admitted.
 fn admission(job: &Job) -> admit::Job {
-    let chain = length::chain(&job.steps, length::declared);
+    let chain = length::critical_path(&job.steps, length::declared);
     admit::Job {
-        rooms: job.steps.iter().map(|step| Room::read(step.room.as_ref())).collect(),
+        task_resources: job.steps.iter().map(|step| Resources::read(step.room.as_ref())).collect(),
         priority: job.priority,
         objective: length::objective(job, chain),
     }
--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -10,7 +10,9 @@
     event::{Event, Operation},
     reach::Way,
 };
-use sapphire_jobs::{Backlog, Feed, Lead, Row, Schedule, State, Step, Supply, room::Room};
+use sapphire_jobs::{
+    Backlog, Feed, Lead, Row, Schedule, State, Step, Supply, resources::Resources,
+};
 use sapphire_store::call::{Item, Reply, Value};
 
 use crate::harness::{TestEntry, is_refused, ms, submit_one_step};
@@ -290,7 +292,7 @@
 }
 
 fn feed_with_supply(drain_ms: u64) -> Option<Box<Feed>> {
-    let largest = Room { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
+    let largest = Resources { millicores: 64_000, memory_mib: 262_144, accelerators: 8 };
     let supply = Supply {
         service: "s".to_owned(),
         largest: Some(largest.message()),
@@ -301,7 +303,7 @@
 }
 
 fn submit_step(accelerators: u64, estimate_ms: u64) -> Action {
-    let room = Room { millicores: 1_000, memory_mib: 1_000, accelerators };
+    let room = Resources { millicores: 1_000, memory_mib: 1_000, accelerators };
     let step = Step { tasks: 1, room: Some(room.message()), estimate_ms, ..Step::default() };
     Action::Submit(Ok(Submission { spec: String::new(), steps: vec![step], schedule: None }))
 }
--- a/crates/planner/src/state/handover.rs
+++ b/crates/planner/src/state/handover.rs
@@ -1,14 +1,14 @@
-//! What a planner leaves to its successor about unanswered starts.
+//! State of the handover record: unanswered starts that a planner leaves to its successor.
 
 use std::time::Duration;
 
 use sapphire_store::call::Revision;
 
-/// The record in the store.
+/// State of the handover record in the store.
 #[derive(Default)]
 pub(crate) struct Handover {
     pub(crate) revision: Revision,
     pub(crate) is_writing: bool,
-    /// Not written again before.
-    pub(crate) next: Duration,
+    /// Time before which it is not written again.
+    pub(crate) next_write: Duration,
 }
--- a/crates/planner/src/table.rs
+++ b/crates/planner/src/table.rs
@@ -1,4 +1,4 @@
-//! Jobs that have been accepted and are not forgotten yet.
+//! The job table: accepted jobs that have not been removed yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,117 +7,118 @@
 
 use sapphire_jobs::{
     Progress, State, Step, Tally, length,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task},
 };
 use sapphire_plan::{
-    estimate::Seen,
+    estimate::Sample,
     waves::{self, Width},
 };
 
 use crate::{
     event::{Moment, Record},
-    group::{Group, Phase, Shown},
+    group::{Group, Observation, Phase},
     options,
 };
 
-/// How soon a change of progress is to be durable.
+/// How soon a change of progress must be durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Haste {
-    /// Somebody waits for it.
-    Now,
-    /// It may wait a little to be written together with more.
+pub enum Urgency {
+    /// At once, since somebody waits for it.
+    Immediate,
+    /// Soon; it may wait a little to be written together with other changes.
     Soon,
-    /// A loss of it costs only work that is done again.
-    Patient,
+    /// Later; its loss costs only work that is done again.
+    Deferred,
 }
 
 /// Progress that is not durable yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dirty {
-    /// It is to be written by then.
+    /// Time by which it must be written.
     pub due: Duration,
-    /// The most urgent change of it.
-    pub haste: Haste,
+    /// Urgency of its most urgent change.
+    pub urgency: Urgency,
 }
 
-/// One job.
+/// A job.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its record.
+    /// The job's record.
     pub job: Record,
-    /// Its groups that are due or have been.
+    /// Groups of the occurrences that have become due.
     pub groups: BTreeMap<GroupKey, Group>,
-    /// Occurrences whose groups are there.
+    /// Number of occurrences whose groups have been added.
     pub occurrences: u32,
-    /// What has become of it, as far as this planner knows.
+    /// State as known to this planner.
     pub state: State,
-    /// What callers are told; never ahead of what is durable.
-    pub shown: State,
+    /// State that callers are shown; never ahead of what is durable.
+    pub reported_state: State,
     /// A task has started.
     pub has_begun: bool,
-    /// Revision of its progress in the store.
+    /// Revision of the job's progress in the store.
     pub revision: u64,
     /// Number of the latest change of its progress.
-    pub changes: u64,
-    /// Number of the latest change without which a task might run once too often.
-    pub vital: u64,
+    pub last_change: u64,
+    /// Number of the latest change whose loss could make a task run once too often.
+    pub last_critical_change: u64,
     /// Number of the latest change that is durable.
-    pub committed: u64,
-    /// There is progress to write.
+    pub committed_change: u64,
+    /// Progress that has to be written.
     pub dirty: Option<Dirty>,
-    /// Version of the table at which callers were last told something new.
+    /// Version of the table at which the state that callers are shown last changed.
     pub version: u64,
-    /// An earlier planner may have started it.
+    /// An earlier planner may have started the job.
     pub is_inherited: bool,
-    /// When it was handed in, by this planner's steady clock.
-    pub handed_in: Duration,
-    /// When it came to its end, by this planner's clock.
+    /// Time of submission, on this planner's steady clock.
+    pub submitted: Duration,
+    /// Time of the job's end, on this planner's steady clock.
     pub ended: Option<Duration>,
-    /// Tasks of each step that its service's workers hold together; 0 while that isn't known.
-    pub fits: Vec<u64>,
-    /// How long the tasks of each step take, as those that ran or run have shown.
-    pub seen: Vec<Option<Seen>>,
+    /// Number of tasks of each step that fit on the workers of its service at the same time; 0
+    /// while not known.
+    pub step_capacity: Vec<u64>,
+    /// Observed run times of the tasks of each step.
+    pub step_samples: Vec<Option<Sample>>,
 }
 
 impl Entry {
-    /// A job of which nothing is known but its record.
-    pub fn new(job: Record, is_inherited: bool, handed_in: Duration) -> Self {
+    /// Returns a job of which only the record is known.
+    pub fn new(job: Record, is_inherited: bool, submitted: Duration) -> Self {
         Entry {
             job,
-            handed_in,
+            submitted,
             groups: BTreeMap::new(),
             occurrences: 0,
             state: State::Queued,
-            shown: State::Queued,
+            reported_state: State::Queued,
             has_begun: false,
             revision: 0,
-            changes: 0,
-            vital: 0,
-            committed: 0,
+            last_change: 0,
+            last_critical_change: 0,
+            committed_change: 0,
             dirty: None,
             version: 0,
             is_inherited,
             ended: None,
-            fits: Vec::new(),
-            seen: Vec::new(),
+            step_capacity: Vec::new(),
+            step_samples: Vec::new(),
         }
     }
 
-    /// Whether it has come to its end.
+    /// Returns whether the job has ended.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::Complete | State::Failed | State::Cancelled)
     }
 
-    /// A step by its number.
+    /// Returns a step by its number.
     pub fn step(&self, index: u32) -> Option<&Step> {
         self.job.steps.get(index as usize)
     }
 
-    /// Adds the groups of occurrences that have become due; returns whether there were any.
-    pub fn materialise(&mut self, now: Moment) -> bool {
+    /// Adds the groups of occurrences that have become due. Returns whether there were any.
+    pub fn add_due_occurrences(&mut self, now: Moment) -> bool {
         let mut is_any = false;
-        while self.occurrences < self.times() && self.due(self.occurrences) <= now.unix {
+        while self.occurrences < self.repetitions() && self.due(self.occurrences) <= now.unix {
             let occurrence = self.occurrences;
             for (index, step) in self.job.steps.iter().enumerate() {
                 let count = if step.is_gang { 1 } else { step.tasks };
@@ -132,28 +133,31 @@
         is_any
     }
 
-    fn times(&self) -> u32 {
+    /// Returns how often the job runs.
+    fn repetitions(&self) -> u32 {
         self.job.schedule.as_ref().map_or(1, |schedule| schedule.times)
     }
 
-    /// When an occurrence is due, in Unix time. A little later than asked, since clocks differ
-    /// and a start before its time breaks a promise while a late one costs little.
+    /// Returns the Unix time at which an occurrence is due. It is slightly later than requested,
+    /// since clocks differ and a start before the requested time is an error while a late one costs
+    /// little.
     fn due(&self, occurrence: u32) -> Duration {
-        const CAUTION: Duration = Duration::from_millis(40);
+        const MARGIN: Duration = Duration::from_millis(40);
         let Some(schedule) = &self.job.schedule else { return Duration::ZERO };
         let after = schedule.interval_ms.saturating_mul(occurrence.into());
-        Duration::from_millis(schedule.first_ms.saturating_add(after)) + CAUTION
+        Duration::from_millis(schedule.first_ms.saturating_add(after)) + MARGIN
     }
 
-    /// Time until the next occurrence, if there is one to come.
+    /// Returns the Unix time at which the next occurrence is due, if there is one.
     pub fn next_due(&self) -> Option<Duration> {
-        (!self.is_over() && self.occurrences < self.times()).then(|| self.due(self.occurrences))
+        (!self.is_over() && self.occurrences < self.repetitions())
+            .then(|| self.due(self.occurrences))
     }
 
-    /// Puts back what the store says of its progress.
+    /// Restores the progress that is recorded in the store.
     pub fn restore(&mut self, progress: &Progress, revision: u64, now: Moment) {
         self.revision = revision;
-        self.materialise(now);
+        self.add_due_occurrences(now);
         for tally in &progress.tallies {
             let key =
                 GroupKey { occurrence: tally.occurrence, step: tally.step, index: tally.index };
@@ -165,30 +169,30 @@
                 group.phase = Phase::Done;
             }
             if tally.took_ms > 0 {
-                let whole = Duration::from_millis(tally.took_ms);
-                group.shown = Some(Shown::sound(whole, "", 0));
+                let run_time = Duration::from_millis(tally.took_ms);
+                group.observation = Some(Observation::healthy(run_time, "", 0));
             }
             self.has_begun = true;
         }
         self.state = progress.state();
-        self.shown = self.state;
+        self.reported_state = self.state;
         if self.is_over() {
             self.ended = Some(now.steady);
         } else if self.has_begun {
             self.state = State::Active;
-            self.shown = State::Active;
+            self.reported_state = State::Active;
         }
     }
 
-    /// What is to be durable of its progress.
+    /// Returns the progress that has to be durable.
     pub fn progress(&self) -> Progress {
-        let is_news = |group: &&Group| {
+        let has_progress = |group: &&Group| {
             group.phase == Phase::Done
                 || !group.failed_runs.is_empty()
                 || !group.checkpoint.is_empty()
         };
         let tallies =
-            self.groups.iter().filter(|(_, group)| is_news(group)).map(|(key, group)| Tally {
+            self.groups.iter().filter(|(_, group)| has_progress(group)).map(|(key, group)| Tally {
                 occurrence: key.occurrence,
                 step: key.step,
                 index: key.index,
@@ -200,81 +204,86 @@
         Progress { tallies: tallies.collect(), state: self.state.into() }
     }
 
-    /// Notes a change that must be durable; returns its number.
-    pub fn touch(&mut self, now: Duration, haste: Haste) -> u64 {
-        self.changes += 1;
-        if haste != Haste::Patient {
-            self.vital = self.changes;
+    /// Records a change of progress that must become durable. Returns its number.
+    pub fn record_change(&mut self, now: Duration, urgency: Urgency) -> u64 {
+        self.last_change += 1;
+        if urgency != Urgency::Deferred {
+            self.last_critical_change = self.last_change;
         }
-        let wait = match haste {
-            Haste::Now => Duration::ZERO,
-            Haste::Soon => options::GATHER,
-            Haste::Patient => options::GATHER_CHECKPOINTS,
+        let wait = match urgency {
+            Urgency::Immediate => Duration::ZERO,
+            Urgency::Soon => options::WRITE_DELAY,
+            Urgency::Deferred => options::CHECKPOINT_WRITE_DELAY,
         };
-        let dirty = self.dirty.get_or_insert(Dirty { due: now + wait, haste });
+        let dirty = self.dirty.get_or_insert(Dirty { due: now + wait, urgency });
         dirty.due = dirty.due.min(now + wait);
-        dirty.haste = dirty.haste.min(haste);
-        self.changes
+        dirty.urgency = dirty.urgency.min(urgency);
+        self.last_change
     }
 
-    /// Whether the steps before one are done.
+    /// Returns whether the steps that a group depends on are done.
     pub fn is_unblocked(&self, key: &GroupKey) -> bool {
         let Some(step) = self.step(key.step) else { return false };
         step.after.iter().all(|earlier| self.is_step_done(key.occurrence, *earlier))
     }
 
+    /// Returns whether all tasks of a step are done.
     fn is_step_done(&self, occurrence: u32, step: u32) -> bool {
         let mut groups = self.groups.range(step_groups(occurrence, step)).peekable();
         groups.peek().is_some() && groups.all(|(_, group)| group.phase == Phase::Done)
     }
 
-    /// Whether every task has ended well.
+    /// Returns whether all tasks have succeeded.
     pub fn is_all_done(&self) -> bool {
-        self.occurrences == self.times()
+        self.occurrences == self.repetitions()
             && self.groups.values().all(|group| group.phase == Phase::Done)
     }
 
-    /// Accelerators that its first steps take at once.
+    /// Returns the accelerators that the initial steps take at the same time.
     pub fn accelerators(&self) -> u64 {
         let first = self.job.steps.iter().filter(|step| step.after.is_empty());
-        let of = |step: &Step| Room::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
-        first.map(of).sum()
+        let accelerators =
+            |step: &Step| Resources::read(step.room.as_ref()).accelerators * u64::from(step.tasks);
+        first.map(accelerators).sum()
     }
 
-    /// The longest chain of steps that are not done, at best.
-    pub fn remaining(&self, expect: impl Fn(u32) -> Duration) -> Duration {
+    /// Returns the run time of the critical path through the unfinished tasks, with as few waves as
+    /// possible.
+    pub fn remaining_path(&self, run_time: impl Fn(u32) -> Duration) -> Duration {
         let last = self.occurrences.saturating_sub(1);
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
-            let width = Width { tasks: self.tasks_left(last, index), ..self.width(index) };
+        length::critical_path(&self.job.steps, |_| {
+            let width = Width { tasks: self.unfinished_tasks(last, index), ..self.width(index) };
             index += 1;
             if width.tasks == 0 {
                 Duration::ZERO
             } else {
-                expect(index - 1) * waves::at_best(width)
+                run_time(index - 1) * waves::at_best(width)
             }
         })
     }
 
-    /// The longest chain of its steps, with the waves that its caller allows for.
-    pub fn chain(&self, expect: impl Fn(u32) -> Duration) -> Duration {
+    /// Returns the run time of the critical path through all steps, with the number of waves that
+    /// its caller must allow for.
+    pub fn critical_path(&self, run_time: impl Fn(u32) -> Duration) -> Duration {
         let mut index = 0;
-        length::chain(&self.job.steps, |_| {
+        length::critical_path(&self.job.steps, |_| {
             let width = self.width(index);
             index += 1;
-            expect(index - 1) * waves::allowed(width)
+            run_time(index - 1) * waves::allowed(width)
         })
     }
 
-    /// How wide a step is; the members of a gang run at once, so it counts as one task.
+    /// Returns the width of a step. The members of a gang run at the same time, so that a gang
+    /// counts as one task.
     pub fn width(&self, step: u32) -> Width {
         let tasks = self.step(step).map_or(0, |step| if step.is_gang { 1 } else { step.tasks });
-        let fits = self.fits.get(step as usize).copied().unwrap_or(0);
+        let fits = self.step_capacity.get(step as usize).copied().unwrap_or(0);
         Width { tasks, fits }
     }
 
-    /// Tasks of a step, or gangs, that are not done.
-    pub fn tasks_left(&self, occurrence: u32, step: u32) -> u32 {
+    /// Returns the number of unfinished tasks of a step; a gang counts as one.
+    pub fn unfinished_tasks(&self, occurrence: u32, step: u32) -> u32 {
         let groups = self.groups.range(step_groups(occurrence, step));
         let mut count = 0;
         let mut is_any = false;
@@ -286,21 +295,21 @@
     }
 }
 
-/// All jobs, with what changed when.
+/// All jobs, with the version of each change.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// Jobs.
+    /// Jobs by identifier.
     pub entries: BTreeMap<JobId, Entry>,
-    /// Jobs that may still have something to run.
+    /// Jobs that may still have tasks to run.
     pub open: BTreeSet<JobId>,
-    /// Version; grows whenever callers are to be told something new.
+    /// Version of the table, incremented with each change that callers are shown.
     pub version: u64,
-    /// Jobs that were forgotten, with the version at which they were.
-    pub gone: Vec<(u64, JobId)>,
+    /// Jobs that were removed, with the version of the removal.
+    pub removed: Vec<(u64, JobId)>,
 }
 
 impl Table {
-    /// Adds a job unless it is there.
+    /// Adds a job unless it is known. Returns whether it was added.
     pub fn insert(&mut self, entry: Entry) -> bool {
         let id = entry.job.id.clone();
         if self.entries.contains_key(&id) {
@@ -314,32 +323,32 @@
         true
     }
 
-    /// Notes what callers are to be told of a job.
-    pub fn show(&mut self, id: &str, state: State) {
+    /// Sets the state of a job that callers are shown.
+    pub fn report_state(&mut self, id: &str, state: State) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        if entry.shown != state {
-            entry.shown = state;
+        if entry.reported_state != state {
+            entry.reported_state = state;
             self.version += 1;
             entry.version = self.version;
         }
     }
 
     /// Removes a job.
-    pub fn forget(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.open.remove(id);
         if self.entries.remove(id).is_some() {
             self.version += 1;
-            self.gone.push((self.version, id.to_owned()));
+            self.removed.push((self.version, id.to_owned()));
         }
     }
 }
 
-/// Keys of the groups of a task's step, in its occurrence.
+/// Returns the range of keys of the groups of a task's step, in the task's occurrence.
 pub fn step_range(task: &Task) -> std::ops::RangeInclusive<GroupKey> {
     step_groups(task.occurrence, task.step)
 }
 
-/// Keys of the groups of a step in one occurrence.
+/// Returns the range of keys of the groups of a step in one occurrence.
 pub fn step_groups(occurrence: u32, step: u32) -> std::ops::RangeInclusive<GroupKey> {
     let key = |index| GroupKey { occurrence, step, index };
     key(0)..=key(u32::MAX)
