--- a/crates/sapphired/src/jobs_entry/store.rs
+++ b/crates/sapphired/src/jobs_entry/store.rs
@@ -48,7 +48,7 @@
             self.levels.info("front", &text);
         }
         if !is_watch(call) {
-            let effects = self.front.note_call(now.steady, way, is_answered);
+            let effects = self.front.record_call(now.steady, way, is_answered);
             self.perform(now, effects.into_iter().map(Work::Front).collect());
         }
         match origin {
@@ -107,11 +107,11 @@
     match origin {
         Origin::Front(operation) => match operation {
             Front::Catalog => "catalog",
-            Front::Proof => "proof",
+            Front::Freshness => "proof",
             Front::CatalogWatch => "catalog_watch",
-            Front::Lead => "lead",
-            Front::LeadWatch => "lead_watch",
-            Front::Hold | Front::Release => "hold",
+            Front::Leader => "lead",
+            Front::LeaderWatch => "lead_watch",
+            Front::LeaderLease | Front::LeaderRelease => "hold",
             Front::Submit(_) => "submit",
             Front::Cancel(_) => "cancel",
             Front::LookUp(_) | Front::LookUpProgress(_) | Front::LookUpCancel(_) => "look_up",
@@ -133,7 +133,7 @@
     use front::event::Operation;
     match origin {
         Origin::Front(Operation::Catalog) => LARGE_RELAY_TIMEOUT,
-        Origin::Front(Operation::Proof) => PROOF_RELAY_TIMEOUT,
+        Origin::Front(Operation::Freshness) => PROOF_RELAY_TIMEOUT,
         Origin::Planner { .. } if matches!(call, Call::Scan { .. }) => LARGE_RELAY_TIMEOUT,
         _ => RELAY_TIMEOUT,
     }
