--- /dev/null
+++ b/crates/planner/src/placement.rs
@@ -0,0 +1,122 @@
+//! Starts a group on the workers that were chosen for it.
+
+use std::collections::BTreeMap;
+
+use sapphire_jobs::task::{GroupKey, RunNumber, Task};
+use sapphire_plan::assignment::{Assignment, Demand};
+
+use crate::{
+    event::Moment,
+    group::{Active, Assignments, Phase},
+    options,
+    planner::Planner,
+    pool::Pool,
+    worker::{self, Run},
+};
+
+impl Planner {
+    /// Orders the tasks of a group on their assigned workers.
+    pub(crate) fn place(
+        &mut self,
+        now: Moment,
+        pool: &mut Pool,
+        id: &str,
+        key: &GroupKey,
+        demand: &Demand,
+        assignments: &[Assignment],
+    ) {
+        let first = (self.startup.term_number - 1) * options::RUNS_PER_TERM + 1;
+        let Some(entry) = self.table.entries.get_mut(id) else { return };
+        let Some(group) = entry.groups.get_mut(key) else { return };
+        let unfinished = allocate(pool, key.index, demand, assignments);
+        let is_remote = is_remote(pool, demand, assignments);
+        let number = first.max(group.run + 1);
+        let waited = now.steady.saturating_sub(group.waiting_since).as_millis();
+        group.run = number;
+        group.claim = None;
+        let blocked_since = group.blocked_since.take();
+        group.phase = Phase::Active(Active {
+            ordered_at: now.steady,
+            began: None,
+            unfinished: unfinished.clone(),
+            is_stopping: false,
+            is_remote,
+            checkpoint: group.checkpoint.clone(),
+        });
+        self.order(now, id, key, demand, number, &unfinished);
+        let expected = self.table.entries.get(id).map(|entry| self.estimate(entry, key.step));
+        let expected = expected.unwrap_or_default();
+        let names: Vec<&str> = unfinished.values().map(String::as_str).collect();
+        self.log(format!(
+            "job={id} step={} index={} run={number} placed on={} waited_ms={waited} far={is_remote} \
+             expected_ms={} spread={:.2}",
+            key.step,
+            key.index,
+            names.join(","),
+            expected.centre.as_millis(),
+            expected.spread
+        ));
+        if let Some(since) = blocked_since {
+            let blocked_ms = now.steady.saturating_sub(since).as_millis();
+            self.log(format!(
+                "job={id} step={} index={} run={number} waited {blocked_ms} ms for unanswered starts",
+                key.step, key.index
+            ));
+        }
+    }
+
+    /// Adds a run's tasks to the runs of their workers. Their agents get the orders with the
+    /// answers to their polls.
+    fn order(
+        &mut self,
+        now: Moment,
+        id: &str,
+        key: &GroupKey,
+        demand: &Demand,
+        number: RunNumber,
+        unfinished: &Assignments,
+    ) {
+        for (index, name) in unfinished {
+            let (occurrence, step) = (key.occurrence, key.step);
+            let task = Task { job: id.to_owned(), occurrence, step, index: *index };
+            let Some(worker) = self.workers.get_mut(name) else { continue };
+            let run = Run::new(number, demand.resources, worker::Phase::Ordered, 0, now.steady);
+            worker.runs.insert(task, run);
+        }
+    }
+}
+
+/// Allocates the resources of a group's tasks, which are numbered from `first`, and returns the
+/// worker of each.
+fn allocate(
+    pool: &mut Pool,
+    first: u32,
+    demand: &Demand,
+    assignments: &[Assignment],
+) -> Assignments {
+    let mut unfinished = BTreeMap::new();
+    let mut bound = demand.bound.clone();
+    let mut free = (0..demand.tasks).filter(|offset| !demand.bound.contains_key(offset));
+    for assignment in assignments {
+        pool.allocate(assignment.place, demand.resources.times(assignment.tasks.into()));
+        let place = &pool.places[assignment.place];
+        for _ in 0..assignment.tasks {
+            let own = bound.iter().find(|(_, worker)| **worker == *place.worker);
+            let own = own.map(|(offset, _)| *offset);
+            let Some(offset) = own.or_else(|| free.next()) else { continue };
+            bound.remove(&offset);
+            unfinished.insert(first + offset, place.worker.to_string());
+        }
+    }
+    unfinished
+}
+
+/// Returns whether a group would run away from its data, or on several racks although it prefers
+/// one.
+fn is_remote(pool: &Pool, demand: &Demand, assignments: &[Assignment]) -> bool {
+    let mut racks = assignments.iter().map(|assignment| &*pool.places[assignment.place].rack);
+    let first = racks.clone().next();
+    let is_scattered = demand.wants_one_rack && racks.clone().any(|rack| Some(rack) != first);
+    let is_away = !demand.near_rack.is_empty() && racks.any(|rack| *rack != *demand.near_rack);
+    is_scattered || is_away
+}
--- a/crates/planner/tests/harness/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A planner with its store and its workers, told event by event.
+//! A planner with a simulated store and workers, driven event by event.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 use sapphire_jobs::{
     Ended, Ending, Feed, Fleet, Incarnation, Job, Member, Orders, Poll, Run, Running, Step,
     catalog::{Catalog, Parts, Queue},
-    room::Room,
+    resources::Resources,
 };
 use sapphire_plan::policy;
 use sapphire_planner::{
@@ -26,8 +26,8 @@
     Duration::from_millis(time)
 }
 
-pub(crate) fn room(accelerators: u64) -> Room {
-    Room { millicores: 1_000, memory_mib: 1_000, accelerators }
+pub(crate) fn resources(accelerators: u64) -> Resources {
+    Resources { millicores: 1_000, memory_mib: 1_000, accelerators }
 }
 
 pub(crate) fn job(id: &str, term: u64, step: Step) -> Job {
@@ -46,27 +46,33 @@
 }
 
 pub(crate) fn step(tasks: u32, is_gang: bool) -> Step {
-    Step { tasks, room: Some(room(1).message()), estimate_ms: 2_000, is_gang, ..Step::default() }
+    Step {
+        tasks,
+        room: Some(resources(1).message()),
+        estimate_ms: 2_000,
+        is_gang,
+        ..Step::default()
+    }
 }
 
 pub(crate) fn run(job: &str, index: u32, number: u32) -> Run {
     Run { job: job.to_owned(), occurrence: 0, step: 0, index, run: number }
 }
 
-/// The minion beside an agent.
+/// Returns the minion of a worker.
 pub(crate) fn minion(name: &str) -> Incarnation {
     Incarnation {
         id: format!("m-{name}"),
         born_ms: 1,
         service: "desk".to_owned(),
         rack: "r".to_owned(),
-        capacity: Some(room(8).times(8).message()),
+        capacity: Some(resources(8).times(8).message()),
         ..Incarnation::default()
     }
 }
 
-/// A planner with what it has asked for.
-pub(crate) struct Bench {
+/// A planner under test, with the effects that it has asked for.
+pub(crate) struct Fixture {
     pub(crate) planner: Planner,
     pub(crate) now: u64,
     pub(crate) orders: Vec<(u64, Orders)>,
@@ -76,22 +82,22 @@
     pub(crate) log: Vec<String>,
     pub(crate) sequence: BTreeMap<String, u64>,
     pub(crate) tokens: BTreeMap<String, u64>,
-    pub(crate) asker: u64,
-    /// Starts of agents, by name.
+    pub(crate) requester: u64,
+    /// Generations of the agents' processes, by worker.
     pub(crate) generations: BTreeMap<String, u64>,
 }
 
-impl Bench {
-    /// A planner whose store holds what is given.
+impl Fixture {
+    /// Returns a planner that has read the given records from the store.
     pub(crate) fn new(items: Vec<Item>) -> Self {
-        let mut bench = Bench::reading();
+        let mut fixture = Fixture::reading();
         let page = Reply::Items { items, has_more: false, revision: 40 };
-        bench.answer_store(page);
-        bench.answer_store(Reply::Committed(60));
-        bench
+        fixture.reply(page);
+        fixture.reply(Reply::Committed(60));
+        fixture
     }
 
-    /// A planner that has asked for the first page of what the store holds.
+    /// Returns a planner that has requested the first page of records from the store.
     pub(crate) fn reading() -> Self {
         let queue = Queue {
             name: "q".to_owned(),
@@ -107,14 +113,14 @@
             lease: ms(6_000),
             longest_lease: ms(10_000),
             clock_drift_milli: 20,
-            stop: ms(400),
-            status: ms(120_000),
-            reclaim: ms(2_900),
+            stop_timeout: ms(400),
+            status_retention: ms(120_000),
+            reclaim_deadline: ms(2_900),
             remote_factor: 3,
             policy: policy::Policy::default(),
         };
         let moment = Moment { steady: ms(START), unix: ms(START) };
-        let mut bench = Bench {
+        let mut fixture = Fixture {
             planner: Planner::new(options, TERM, Arc::new(catalog), moment),
             now: START,
             orders: Vec::new(),
@@ -124,18 +130,18 @@
             log: Vec::new(),
             sequence: BTreeMap::new(),
             tokens: BTreeMap::new(),
-            asker: 0,
+            requester: 0,
             generations: BTreeMap::new(),
         };
-        bench.tell(Event::Tick);
-        bench
+        fixture.handle(Event::Tick);
+        fixture
     }
 
-    pub(crate) fn tell(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         let moment = Moment { steady: ms(self.now), unix: ms(self.now) };
         for effect in self.planner.handle(moment, event) {
             match effect {
-                Effect::Orders(asker, orders) => self.orders.push((asker, *orders)),
+                Effect::Orders(requester, orders) => self.orders.push((requester, *orders)),
                 Effect::Feed(_, feed) => self.feeds.push(*feed),
                 Effect::Store(operation, call) => self.calls.push((operation, call)),
                 Effect::Deposed => self.is_deposed = true,
@@ -145,24 +151,24 @@
         }
     }
 
-    pub(crate) fn pass(&mut self, time: u64) {
+    pub(crate) fn advance(&mut self, time: u64) {
         for _ in 0..time / 50 {
             self.now += 50;
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    /// Answers the latest call to the store.
-    pub(crate) fn answer_store(&mut self, reply: Reply) {
+    /// Replies to the latest call to the store.
+    pub(crate) fn reply(&mut self, reply: Reply) {
         let (operation, _) = self.calls.pop().expect("a call was made");
-        self.tell(Event::Store(operation, reply));
+        self.handle(Event::Store(operation, reply));
     }
 
     pub(crate) fn poll(&mut self, name: &str, running: Vec<Running>, ended: Vec<Ended>) {
         self.report(name, Poll { running, ended, ..Poll::default() });
     }
 
-    /// Lets an agent report; who it is and what its minion is like are filled in.
+    /// Sends a poll of an agent; its identity and its minion are filled in.
     pub(crate) fn report(&mut self, name: &str, report: Poll) {
         let sequence = self.sequence.entry(name.to_owned()).or_default();
         *sequence += 1;
@@ -176,22 +182,22 @@
             fenced_token: self.tokens.get(name).copied().unwrap_or(0),
             ..report
         };
-        self.asker += 1;
-        let asker = self.asker;
-        self.tell(Event::Poll(asker, Box::new(poll)));
-        let mine = self.orders.iter().filter(|(other, _)| *other == asker);
+        self.requester += 1;
+        let requester = self.requester;
+        self.handle(Event::Poll(requester, Box::new(poll)));
+        let mine = self.orders.iter().filter(|(other, _)| *other == requester);
         if let Some(token) = mine.map(|(_, orders)| orders.token).next_back() {
             self.tokens.insert(name.to_owned(), token);
         }
     }
 
-    /// Restarts an agent; its minion runs on.
-    pub(crate) fn restart(&mut self, name: &str) {
+    /// Restarts an agent; its minion goes on running.
+    pub(crate) fn restart_agent(&mut self, name: &str) {
         *self.generations.entry(name.to_owned()).or_insert(1) += 1;
         self.tokens.remove(name);
     }
 
-    /// Lets a worker join; its minion lists what is given.
+    /// Lets a worker join; its minion lists the given runs and ends.
     pub(crate) fn join(&mut self, name: &str, running: Vec<Running>, ended: Vec<Ended>) {
         self.poll(name, Vec::new(), Vec::new());
         self.poll(name, running, ended);
@@ -199,11 +205,11 @@
             self.calls.iter().position(|(operation, _)| *operation == Operation::Fleet)
         {
             let (operation, _) = self.calls.remove(at);
-            self.tell(Event::Store(operation, Reply::Committed(61)));
+            self.handle(Event::Store(operation, Reply::Committed(61)));
         }
     }
 
-    /// Runs that were ordered; an order is given again until its agent has it in hand.
+    /// Returns the runs that were ordered. An order is repeated until its agent has received it.
     pub(crate) fn starts(&self) -> Vec<Run> {
         let orders = self.orders.iter().flat_map(|(_, orders)| &orders.starts);
         let mut runs: Vec<Run> = Vec::new();
@@ -215,8 +221,8 @@
         runs
     }
 
-    /// The worker that was told last to start a task of a job.
-    pub(crate) fn placed(&self, id: &str) -> String {
+    /// Returns the worker on which a task of a job is placed; empty if there is none.
+    pub(crate) fn worker_of(&self, id: &str) -> String {
         let worker = self
             .planner
             .workers()
--- a/crates/trace/src/run.rs
+++ b/crates/trace/src/run.rs
@@ -12,8 +12,8 @@
     estimate::Estimates,
     fleet::Fleet,
     pass::{self, Mechanisms},
-    place::{self, Seat},
-    queue, reclaim,
+    place::{self, Assignment},
+    reclaim, size,
 };
 use sapphire_wire::{Job, id, resource};
 
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct Live {
-    seats: Vec<Seat>,
+    seats: Vec<Assignment>,
     is_guaranteed: bool,
     started: Duration,
     ends: Duration,
@@ -145,7 +145,7 @@
         for id in due {
             let live = self.live.remove(&id).expect("just found");
             self.release(&id, &live);
-            let accelerators = f64::from(queue::accelerators(self.job(&id)));
+            let accelerators = f64::from(size::accelerators(self.job(&id)));
             let ran = now.saturating_sub(live.started);
             self.used += accelerators * seconds(ran);
             match live.evicted_at {
@@ -174,7 +174,7 @@
         let job = self.arrivals[id].job.clone();
         let shape = job.shape.unwrap_or_default();
         for seat in &live.seats {
-            self.fleet.give(&seat.worker, &shape, seat.tasks);
+            self.fleet.release(&seat.worker, &shape, seat.tasks);
             if live.is_guaranteed {
                 let worker = self.fleet.workers.get_mut(&seat.worker).expect("it ran there");
                 let own = worker.guaranteed.entry(job.organisation.clone()).or_default();
@@ -233,7 +233,7 @@
                 pass::Running {
                     organisation: self.job(id).organisation.clone(),
                     shape: self.job(id).shape.unwrap_or_default(),
-                    seats: live.seats.clone(),
+                    assignments: live.seats.clone(),
                     is_guaranteed: live.is_guaranteed,
                     remaining: Estimates::remaining(expected, now.saturating_sub(live.started)),
                 }
@@ -272,10 +272,10 @@
         let shape = job.shape.unwrap_or_default();
         let mut begins = now + START;
         if is_guaranteed {
-            begins = begins.max(self.reclaim(now, &shape, &place.seats));
+            begins = begins.max(self.reclaim(now, &shape, &place.assignments));
         }
-        for seat in &place.seats {
-            self.fleet.take(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
+        for seat in &place.assignments {
+            self.fleet.allocate(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
         }
         self.waiting.retain(|waiting| waiting != id);
         self.first_start.entry(id.clone()).or_insert(begins);
@@ -283,7 +283,7 @@
             self.note_guaranteed(id, begins);
         }
         let ends = begins + self.left[id];
-        let seats = place.seats;
+        let seats = place.assignments;
         let live = Live { seats, is_guaranteed, started: begins, ends, evicted_at: None };
         self.live.insert(id.clone(), live);
     }
@@ -297,7 +297,12 @@
         self.figures.worst_start = self.figures.worst_start.max(seconds(wait));
     }
 
-    fn reclaim(&mut self, now: Duration, shape: &sapphire_wire::Shape, seats: &[Seat]) -> Duration {
+    fn reclaim(
+        &mut self,
+        now: Duration,
+        shape: &sapphire_wire::Shape,
+        seats: &[Assignment],
+    ) -> Duration {
         let mut free_at = now;
         for seat in seats {
             // Gangs that wait here for an eviction under way have been given room already.
@@ -342,7 +347,7 @@
                 attempt: id.clone(),
                 need: resource::Amount::of_tasks(&shape, tasks),
                 ran: now.saturating_sub(live.started),
-                gang: queue::accelerators(self.job(id)),
+                gang: size::accelerators(self.job(id)),
             }
         })
         .collect()
@@ -358,8 +363,8 @@
         fleet.workers.values_mut().for_each(|worker| worker.bound.clear());
         let mut served = 0;
         while let Some(place) = place::place(&fleet, &place::Options::borrowing("", &shape)) {
-            for seat in &place.seats {
-                fleet.take(&seat.worker, "", &shape, seat.tasks, false);
+            for seat in &place.assignments {
+                fleet.allocate(&seat.worker, "", &shape, seat.tasks, false);
             }
             served += shape.accelerators * shape.tasks;
         }
@@ -391,7 +396,7 @@
         let slowdowns: Vec<f64> =
             load.iter().map(|arrival| completion(arrival) / seconds(arrival.run)).collect();
         let least = self.deployment.largest.tasks * self.deployment.largest.accelerators;
-        let large = load.iter().filter(|arrival| queue::accelerators(&arrival.job) >= least);
+        let large = load.iter().filter(|arrival| size::accelerators(&arrival.job) >= least);
         let waits: Vec<f64> =
             large.map(|a| seconds(self.first_start[&a.job.id].saturating_sub(a.at))).collect();
         let mean = |numbers: &[f64]| figures::spread(numbers).0;
