--- a/crates/proofs/src/jobs/world/minions.rs
+++ b/crates/proofs/src/jobs/world/minions.rs
@@ -12,7 +12,7 @@
     task::{RunNumber, Task},
 };
 use sapphire_planner::keys;
-use sapphire_runner::{self as runner, minion::Beat};
+use sapphire_runner::{self as runner, minion::Heartbeat};
 use sapphire_store::call::{Call, Reply};
 
 use super::{Action, BEAT, Done, EPOCH, LOCAL, Request, STEP, World};
@@ -29,20 +29,20 @@
         let Request { agent, ticket, .. } = request;
         let minion = &self.minions[agent];
         if !minion.is_up {
-            self.reply(&request, Said::Gone);
+            self.reply(&request, Said::NotListening);
             return;
         }
         if !request.target.is_empty() && request.target != minion.incarnation.id {
-            self.reply(&request, Said::OtherLife);
+            self.reply(&request, Said::WrongInstance);
             return;
         }
-        let is_order = !matches!(request.call, Order::Hold { .. });
+        let is_order = !matches!(request.call, Order::LongPoll { .. });
         let is_late = request.life.is_none();
         if is_order && !is_late {
             if self.late_orders > 0.0 && self.rng.random_bool(self.late_orders) {
                 let late = Duration::from_secs_f64(self.rng.random_range(2.0..12.0));
                 self.note_order(&request, &format!("gets no answer, late by {}", late.as_millis()));
-                let event = runner::event::Event::Minion(ticket, Said::Unknown);
+                let event = runner::event::Event::MinionReply(ticket, Said::Unknown);
                 let life = request.life.unwrap_or_default();
                 self.at(request.until, Action::Runner(agent, life, event));
                 self.after(late, Action::Minion(Box::new(Request { life: None, ..request })));
@@ -53,7 +53,7 @@
                 return;
             }
         }
-        if let Order::Hold { wait, .. } = &request.call
+        if let Order::LongPoll { wait, .. } = &request.call
             && !wait.is_zero()
             && minion.ended.is_empty()
             && self.now + LOCAL * 4 + runner::options::MINION_TIMEOUT < request.until
@@ -87,7 +87,7 @@
 
     fn reply(&mut self, request: &Request, reply: runner::minion::Reply) {
         if let Some(life) = request.life {
-            let event = runner::event::Event::Minion(request.ticket, reply);
+            let event = runner::event::Event::MinionReply(request.ticket, reply);
             self.after(LOCAL, Action::Runner(request.agent, life, event));
         }
     }
@@ -105,7 +105,7 @@
     fn note_order(&mut self, request: &Request, outcome: &str) {
         use runner::minion::Call as Order;
         let (verb, task, number, token) = match &request.call {
-            Order::Hold { .. } => return,
+            Order::LongPoll { .. } => return,
             Order::Start { start, token, .. } => {
                 let run = start.run.clone().unwrap_or_default();
                 ("start", Task::read(&run), run.run, *token)
@@ -241,13 +241,13 @@
     pub(super) fn say(&mut self, agent: usize) {
         let minion = &self.minions[agent];
         if minion.is_up {
-            let beat = Beat {
+            let beat = Heartbeat {
                 incarnation: minion.incarnation.clone(),
                 address: format!("m{agent}"),
                 sequence: self.now.as_micros() as u64,
             };
             let life = self.agents[agent].life;
-            let event = runner::event::Event::Beat(Box::new(beat));
+            let event = runner::event::Event::Heartbeat(Box::new(beat));
             self.after(LOCAL, Action::Runner(agent, life, event));
         }
     }
--- a/crates/runner/src/event.rs
+++ b/crates/runner/src/event.rs
@@ -1,33 +1,33 @@
-//! What the agent is told.
+//! Events that the agent handles.
 
 use sapphire_jobs::{Lead, Orders};
 
-use crate::minion::{Beat, Reply};
+use crate::minion::{Heartbeat, Reply};
 
-/// Number of a call under way, given by the agent.
+/// Number that the agent gives to a call, which the event with its outcome repeats.
 pub type Ticket = u64;
 
-/// One event.
+/// An event for the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The minion speaks of itself.
-    Beat(Box<Beat>),
-    /// The minion with this identifier says that it ends.
-    Leaves(String),
-    /// The minion has answered.
-    Minion(Ticket, Reply),
+    /// A heartbeat of the minion has arrived.
+    Heartbeat(Box<Heartbeat>),
+    /// The minion with this identifier has deregistered, since it is shutting down.
+    Deregistered(String),
+    /// A call to the minion has been answered or has failed.
+    MinionReply(Ticket, Reply),
     /// The planner has answered a poll.
     Orders(Ticket, Box<Orders>),
-    /// A poll has no answer, or one that says that nobody plans there.
-    NoOrders {
-        /// Which poll.
+    /// A poll got no answer, or was declined.
+    PollFailed {
+        /// Ticket of the poll.
         ticket: Ticket,
-        /// It was answered: the process there does not plan.
+        /// Whether an answer came that says that the process there is not the planner.
         is_declined: bool,
     },
-    /// Somebody says who plans.
-    Lead(Lead),
-    /// The process is asked to end.
+    /// The planner or an entry has reported which entry is the leader.
+    Leader(Lead),
+    /// The process was asked to terminate.
     Terminate,
     /// Time has passed.
     Tick,
