--- a/crates/sapphired/src/agent_role.rs
+++ b/crates/sapphired/src/agent_role.rs
@@ -1,4 +1,5 @@
-//! `sapphired agent`: the agent's state machine as an actor, with its I/O.
+//! Role `sapphired agent` on threads and message sockets: runs the agent's state machine as an
+//! actor and performs its effects.
 
 use std::time::{Duration, Instant};
 
@@ -10,23 +11,24 @@
 
 use crate::{clock, logging, mesh, metrics, minion, runtime, worker};
 
-/// How often time-outs are looked at.
+/// Interval at which timeouts are checked.
 const TICK: Duration = Duration::from_millis(100);
-/// How often gauges are sent and idle connections closed, in ticks.
+/// Number of ticks after which gauges are sent and idle connections closed.
 const SLOW_TICKS: u32 = 100;
-/// How long ended attempts are remembered.
-const MEMORY: Duration = Duration::from_secs(600);
+/// Time for which ended attempts are remembered.
+const ENDED_RETENTION: Duration = Duration::from_secs(600);
 
-/// The actor.
+/// State machine of the agent with the sockets and threads that perform its effects.
 struct Role {
     machine: machine::Machine,
     clock: clock::Clock,
     mesh: mesh::Mesh,
     worker: Option<worker::Worker>,
     minion: Option<minion::Minion>,
-    levels: logging::Levels,
+    logger: logging::Logger,
     metrics: metrics::Sender,
-    first: Vec<Effect>,
+    /// Effects of the machine's creation, performed when the actor starts.
+    initial: Vec<Effect>,
     ticks: u32,
 }
 
@@ -37,15 +39,15 @@
     }
 
     fn begin(&mut self, cx: CX![]) {
-        for effect in std::mem::take(&mut self.first) {
-            self.effect(cx, effect);
+        for effect in std::mem::take(&mut self.initial) {
+            self.perform(cx, effect);
         }
         self.tick(cx);
     }
 
     fn tick(&mut self, cx: CX![]) {
         after!(TICK, [cx], tick());
-        self.event(cx, Event::Tick);
+        self.handle(cx, Event::Tick);
         self.ticks += 1;
         if self.ticks.is_multiple_of(SLOW_TICKS) {
             self.mesh.close_idle();
@@ -55,22 +57,22 @@
         }
     }
 
-    fn event(&mut self, cx: CX![], event: Event) {
+    fn handle(&mut self, cx: CX![], event: Event) {
         let now = self.clock.at(cx.now());
         for effect in self.machine.handle(now, event) {
-            self.effect(cx, effect);
+            self.perform(cx, effect);
         }
     }
 
-    fn effect(&mut self, cx: CX![], effect: Effect) {
+    fn perform(&mut self, cx: CX![], effect: Effect) {
         match effect {
             Effect::Send { to, envelope } => {
-                self.metrics.sent(self.mesh.send(&to.address, *envelope));
+                self.metrics.count_sent(self.mesh.send(&to.address, *envelope));
             }
             Effect::ResetWorker => self.call_worker(worker::Call::Reset),
             Effect::RunTasks(run) => self.call_worker(worker::Call::Run(run)),
-            Effect::RenewTasks(attempt, left) => {
-                self.call_worker(worker::Call::Renew(attempt, left));
+            Effect::RenewTasks(attempt, lease) => {
+                self.call_worker(worker::Call::Renew(attempt, lease));
             }
             Effect::CheckpointTasks(attempt) => {
                 self.call_worker(worker::Call::Checkpoint(attempt));
@@ -81,9 +83,9 @@
                     minion.call(call);
                 }
             }
-            Effect::Log(text) => self.levels.info("agent", &text),
+            Effect::Log(text) => self.logger.info("agent", &text),
             Effect::Exit => {
-                self.levels.info("agent", "exits after a graceful shutdown");
+                self.logger.info("agent", "exits after a graceful shutdown");
                 stop!(cx);
             }
         }
@@ -101,7 +103,7 @@
 /// # Errors
 /// When an address can't be listened on or a thread can't be started.
 pub fn run(settings: &Agent) -> eyre::Result<()> {
-    let levels = logging::start(&settings.logging.clone().unwrap_or_default())?;
+    let logger = logging::start(&settings.logging.clone().unwrap_or_default())?;
     let metrics =
         metrics::Sender::new(&settings.metrics.clone().unwrap_or_default(), &settings.name)?;
     let clock = clock::Clock::start();
@@ -112,23 +114,23 @@
     let worker = worker.map(|own| worker::Worker::start(&own.address, options.lease, &events));
     let minion = settings.minion.as_ref();
     let minion = minion.map(|own| minion::Minion::start(&own.address, own.slots, &events));
-    let (machine, first) = machine::Machine::new(clock.at(Instant::now()), options);
+    let (machine, initial) = machine::Machine::new(clock.at(Instant::now()), options);
     let role = Role {
         machine,
         clock,
         mesh: mesh::Mesh::default(),
         worker: worker.transpose()?,
         minion: minion.transpose()?,
-        levels: levels.clone(),
+        logger: logger.clone(),
         metrics,
-        first,
+        initial,
         ticks: 0,
     };
     runtime::watch_signals(events, || Event::Drain)?;
-    levels.info("agent", &format!("agent={} starts address={}", settings.name, settings.address));
+    logger.info("agent", &format!("agent={} starts address={}", settings.name, settings.address));
     let mut stakker = Stakker::new(Instant::now());
     let actor = actor!(stakker, Role::init(role), ret_shutdown!(stakker));
-    runtime::run(&mut stakker, &actor, &queue, |_, actor, event| call!([actor], event(event)));
+    runtime::run(&mut stakker, &actor, &queue, |_, actor, event| call!([actor], handle(event)));
     Ok(())
 }
 
@@ -158,6 +160,6 @@
         heartbeat: millis(timing.heartbeat_ms),
         silence_timeout: millis(timing.silence_ms),
         lease: millis(timing.lease_ms),
-        ended_retention: MEMORY,
+        ended_retention: ENDED_RETENTION,
     }
 }
--- a/crates/sapphired/src/clock.rs
+++ b/crates/sapphired/src/clock.rs
@@ -1,31 +1,33 @@
-//! The process's clock and generation, taken once from the system.
+//! Clock and generation of the process. The system's wall clock is read once, at the start.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sapphire_wire::id;
 
-/// Monotonic time on the scale of the Unix epoch. A step of the system's clock after the start
-/// does not move it.
+/// Monotonic clock whose times count from the Unix epoch. Adjustments of the system's wall clock
+/// after the start do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    epoch: Duration,
+    /// Unix time at `start`.
+    unix_start: Duration,
 }
 
 impl Clock {
-    /// Takes the time once.
+    /// Reads the system's clocks.
     pub fn start() -> Self {
-        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), epoch }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { start: Instant::now(), unix_start }
     }
 
-    /// Time of an instant.
+    /// Time since the Unix epoch at an instant; the start time for instants before the start.
     pub fn at(&self, instant: Instant) -> Duration {
-        self.epoch + instant.saturating_duration_since(self.start)
+        self.unix_start + instant.saturating_duration_since(self.start)
     }
 
-    /// Generation of this start: grows from start to start.
+    /// Generation of this process: its start time in microseconds since the Unix epoch. It grows
+    /// from one start of the process to the next.
     pub fn generation(&self) -> id::Generation {
-        u64::try_from(self.epoch.as_micros()).unwrap_or(u64::MAX)
+        u64::try_from(self.unix_start.as_micros()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/sapphired/src/entry_role.rs
+++ b/crates/sapphired/src/entry_role.rs
@@ -1,4 +1,5 @@
-//! `sapphired entry`: the entry's state machine as an actor, with its I/O.
+//! Role `sapphired entry` on threads and message sockets: runs the entry's state machine as an
+//! actor and performs its effects.
 
 use std::time::{Duration, Instant};
 
@@ -10,19 +11,19 @@
 
 use crate::{clock, http, logging, mesh, metrics, runtime, store};
 
-/// How often time-outs are looked at.
+/// Interval at which timeouts are checked.
 const TICK: Duration = Duration::from_millis(50);
-/// How often gauges are sent and idle connections closed, in ticks.
+/// Number of ticks after which gauges are sent and idle connections closed.
 const SLOW_TICKS: u32 = 100;
 
-/// The actor.
+/// State machine of the entry with the sockets and threads that perform its effects.
 struct Role {
     machine: machine::Machine,
     clock: clock::Clock,
     mesh: mesh::Mesh,
     store: store::Store,
-    edge: http::Edge,
-    levels: logging::Levels,
+    endpoint: http::Endpoint,
+    logger: logging::Logger,
     metrics: metrics::Sender,
     ticks: u32,
 }
@@ -35,7 +36,7 @@
 
     fn tick(&mut self, cx: CX![]) {
         after!(TICK, [cx], tick());
-        self.event(cx, Event::Tick);
+        self.handle(cx, Event::Tick);
         self.ticks += 1;
         if self.ticks.is_multiple_of(SLOW_TICKS) {
             self.mesh.close_idle();
@@ -46,17 +47,17 @@
         }
     }
 
-    fn event(&mut self, cx: CX![], event: Event) {
+    fn handle(&mut self, cx: CX![], event: Event) {
         let now = self.clock.at(cx.now());
         for effect in self.machine.handle(now, event) {
-            self.effect(cx, effect);
+            self.perform(cx, effect);
         }
     }
 
-    fn effect(&mut self, cx: CX![], effect: Effect) {
+    fn perform(&mut self, cx: CX![], effect: Effect) {
         match effect {
             Effect::Send { to, envelope } => {
-                self.metrics.sent(self.mesh.send(&to.address, *envelope));
+                self.metrics.count_sent(self.mesh.send(&to.address, *envelope));
             }
             Effect::Store(operation, call) => {
                 self.metrics.count("store.calls", 1);
@@ -64,11 +65,11 @@
             }
             Effect::Answer(caller, answer) => {
                 self.metrics.count(&format!("answers.{}", answer.status), 1);
-                self.edge.answer(caller, answer);
+                self.endpoint.answer(caller, answer);
             }
-            Effect::Log(line) => self.levels.info(line.part, &line.text),
+            Effect::Log(line) => self.logger.info(line.part, &line.text),
             Effect::Exit => {
-                self.levels.info("member", "exits after a graceful shutdown");
+                self.logger.info("member", "exits after a graceful shutdown");
                 stop!(cx);
             }
         }
@@ -80,7 +81,7 @@
 /// # Errors
 /// When an address can't be listened on or a thread can't be started.
 pub fn run(settings: &Entry) -> eyre::Result<()> {
-    let levels = logging::start(&settings.logging.clone().unwrap_or_default())?;
+    let logger = logging::start(&settings.logging.clone().unwrap_or_default())?;
     let metrics =
         metrics::Sender::new(&settings.metrics.clone().unwrap_or_default(), &settings.name)?;
     let clock = clock::Clock::start();
@@ -93,16 +94,16 @@
         clock,
         mesh: mesh::Mesh::default(),
         store: store::Store::start(&settings.store, &events)?,
-        edge: http::Edge::start(&settings.http, usize::try_from(max_body)?, &events)?,
-        levels: levels.clone(),
+        endpoint: http::Endpoint::start(&settings.http, usize::try_from(max_body)?, &events)?,
+        logger: logger.clone(),
         metrics,
         ticks: 0,
     };
     runtime::watch_signals(events, || Event::Drain)?;
-    levels.info("member", &format!("entry={} starts http={}", settings.name, settings.http));
+    logger.info("member", &format!("entry={} starts http={}", settings.name, settings.http));
     let mut stakker = Stakker::new(Instant::now());
     let actor = actor!(stakker, Role::init(role), ret_shutdown!(stakker));
-    runtime::run(&mut stakker, &actor, &queue, |_, actor, event| call!([actor], event(event)));
+    runtime::run(&mut stakker, &actor, &queue, |_, actor, event| call!([actor], handle(event)));
     Ok(())
 }
 
--- a/crates/sapphired/src/http.rs
+++ b/crates/sapphired/src/http.rs
@@ -1,4 +1,5 @@
-//! Callers and operators over HTTP/1.1.
+//! HTTP/1.1 endpoint of the entry, for callers and operators: accepts requests, reports them as
+//! events and writes the answers, on threads of its own.
 
 use std::{
     io::Read as _,
@@ -20,34 +21,37 @@
 
 use crate::runtime;
 
-/// Threads that take requests without a body, and answer.
+/// Threads that accept requests.
 const ACCEPT_THREADS: usize = 2;
+/// Threads that write answers.
 const ANSWER_THREADS: usize = 4;
-/// Requests whose bodies are read at the same time.
-const MAX_READERS: usize = 64;
-/// Largest set of headers, in bytes.
-const MAX_HEADERS: usize = 16 * 1024;
+/// Maximum number of bodies that are read at the same time, each on a thread of its own.
+const MAX_BODY_READERS: usize = 64;
+/// Maximum size of all headers and the request target together.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
 
-/// Requests that wait for their answers, by caller.
-type Waiting = Arc<Mutex<slab::Slab<Request>>>;
+/// Requests without an answer yet, by the caller's identifier.
+type Pending = Arc<Mutex<slab::Slab<Request>>>;
 
-/// Serves HTTP at one address.
+/// Listens at one address and answers the requests that arrive there.
 #[derive(Clone)]
-pub struct Edge {
-    waiting: Waiting,
+pub struct Endpoint {
+    pending: Pending,
     answers: Sender<(Request, Answer)>,
 }
 
+/// Checks incoming requests, reads their bodies and reports them as events.
 #[derive(Clone)]
-struct Intake {
-    waiting: Waiting,
+struct Acceptor {
+    pending: Pending,
     events: Sender<event::Event>,
     max_body: usize,
-    readers: Arc<AtomicUsize>,
+    /// Number of bodies that are being read.
+    body_readers: Arc<AtomicUsize>,
     answers: Sender<(Request, Answer)>,
 }
 
-impl Edge {
+impl Endpoint {
     /// Listens and starts the threads.
     ///
     /// # Errors
@@ -57,82 +61,84 @@
         max_body: usize,
         events: &Sender<event::Event>,
     ) -> eyre::Result<Self> {
-        let server = Server::http(address).map_err(|error| eyre!("listen {address}: {error}"))?;
+        let server =
+            Server::http(address).map_err(|error| eyre!("cannot listen at {address}: {error}"))?;
         let server = Arc::new(server);
-        let waiting = Waiting::default();
+        let pending = Pending::default();
         let (answers, queue) = unbounded();
         for _ in 0..ANSWER_THREADS {
             let queue: Receiver<(Request, Answer)> = queue.clone();
             runtime::spawn("http-answer", move || queue.iter().for_each(respond))?;
         }
-        let intake = Intake {
-            waiting: waiting.clone(),
+        let acceptor = Acceptor {
+            pending: pending.clone(),
             events: events.clone(),
             max_body,
-            readers: Arc::default(),
+            body_readers: Arc::default(),
             answers: answers.clone(),
         };
         for _ in 0..ACCEPT_THREADS {
-            let (server, intake) = (server.clone(), intake.clone());
+            let (server, acceptor) = (server.clone(), acceptor.clone());
             runtime::spawn("http", move || {
                 while let Ok(request) = server.recv() {
-                    intake.take(request);
+                    acceptor.accept(request);
                 }
             })?;
         }
-        Ok(Edge { waiting, answers })
+        Ok(Endpoint { pending, answers })
     }
 
-    /// Answers a caller. The answer is written by another thread, so a slow caller delays no
-    /// decision.
+    /// Answers a caller. The answer is written by another thread, so that a slow caller does not
+    /// block the main thread.
     pub fn answer(&self, caller: event::Caller, answer: Answer) {
-        let mut waiting = self.waiting.lock().expect("no thread panics while it holds this");
+        let mut pending = self.pending.lock().expect("no thread panics while it holds this");
         let key = usize::try_from(caller).unwrap_or(usize::MAX);
-        if let Some(request) = waiting.try_remove(key) {
+        if let Some(request) = pending.try_remove(key) {
             let _ = self.answers.send((request, answer));
         }
     }
 }
 
-impl Intake {
-    fn take(&self, request: Request) {
+impl Acceptor {
+    /// Rejects requests that are too large and forwards the others.
+    fn accept(&self, request: Request) {
         let size: usize = request
             .headers()
             .iter()
             .map(|header| header.field.as_str().as_str().len() + header.value.as_str().len())
             .sum();
-        if size + request.url().len() > MAX_HEADERS {
-            self.refuse(request, 431, "the headers are too long");
+        if size + request.url().len() > MAX_HEADER_BYTES {
+            self.reject(request, 431, "the headers are too long");
             return;
         }
         let length = request.body_length();
         if length.is_some_and(|length| length > self.max_body) {
-            self.refuse(request, 413, "the body is too long");
+            self.reject(request, 413, "the body is too long");
             return;
         }
         let has_body = length != Some(0) && has_body(&request);
         if has_body {
-            self.read_apart(request);
+            self.spawn_reader(request);
         } else {
-            self.pass(request, Bytes::new());
+            self.forward(request, Bytes::new());
         }
     }
 
-    /// Reads a body on a thread of its own, within a bound, so that a caller that sends slowly
-    /// delays no other.
-    fn read_apart(&self, request: Request) {
-        if self.readers.fetch_add(1, Ordering::Relaxed) >= MAX_READERS {
-            self.readers.fetch_sub(1, Ordering::Relaxed);
-            self.refuse(request, 503, "too many bodies are being read");
+    /// Reads a body on a thread of its own, so that a caller that sends slowly delays no other. At
+    /// most [`MAX_BODY_READERS`] bodies are read at a time.
+    fn spawn_reader(&self, request: Request) {
+        if self.body_readers.fetch_add(1, Ordering::Relaxed) >= MAX_BODY_READERS {
+            self.body_readers.fetch_sub(1, Ordering::Relaxed);
+            self.reject(request, 503, "too many bodies are being read");
             return;
         }
-        let intake = self.clone();
+        let acceptor = self.clone();
         let body = move || {
-            intake.read(request);
-            intake.readers.fetch_sub(1, Ordering::Relaxed);
+            acceptor.read(request);
+            acceptor.body_readers.fetch_sub(1, Ordering::Relaxed);
         };
         if runtime::spawn("http-body", body).is_err() {
-            self.readers.fetch_sub(1, Ordering::Relaxed);
+            self.body_readers.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
@@ -141,20 +147,21 @@
         let limit = self.max_body as u64 + 1;
         let read = request.as_reader().take(limit).read_to_end(&mut body);
         if read.is_err() {
-            self.refuse(request, 400, "the body was cut off");
+            self.reject(request, 400, "the body was cut off");
         } else if body.len() > self.max_body {
-            self.refuse(request, 413, "the body is too long");
+            self.reject(request, 413, "the body is too long");
         } else {
-            self.pass(request, Bytes::from(body));
+            self.forward(request, Bytes::from(body));
         }
     }
 
-    fn refuse(&self, request: Request, status: u16, reason: &str) {
+    fn reject(&self, request: Request, status: u16, reason: &str) {
         let answer = Answer::failure(status, Account::NotRun, reason);
         let _ = self.answers.send((request, answer));
     }
 
-    fn pass(&self, request: Request, body: Bytes) {
+    /// Keeps the request until it is answered and reports it as an event.
+    fn forward(&self, request: Request, body: Bytes) {
         let (path, query) = request.url().split_once('?').unwrap_or((request.url(), ""));
         let headers = request.headers().iter().map(|header| Header {
             name: header.field.as_str().as_str().to_owned(),
@@ -167,9 +174,9 @@
             headers: headers.collect(),
             body,
         };
-        let mut waiting = self.waiting.lock().expect("no thread panics while it holds this");
-        let caller = waiting.insert(request) as event::Caller;
-        drop(waiting);
+        let mut pending = self.pending.lock().expect("no thread panics while it holds this");
+        let caller = pending.insert(request) as event::Caller;
+        drop(pending);
         let _ = self.events.send(event::Event::Http(caller, call));
     }
 }
@@ -187,6 +194,6 @@
             response = response.with_header(header);
         }
     }
-    // The caller may have left; there is no one to tell.
+    // The caller may have disconnected; nothing else depends on the answer.
     let _ = request.respond(response);
 }
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -1,4 +1,5 @@
-//! `sapphired agent` on the users' platform: beside a minion that runs tasks, with its I/O.
+//! Role `sapphired agent` on the users' platform: runs the state machine of the agent beside a
+//! minion as an actor on the event loop and performs its effects.
 
 use std::{
     cell::RefCell,
@@ -20,7 +21,7 @@
 use sapphire_platform as platform;
 use sapphire_runner::{
     effect::Effect,
-    event::{Event as Told, Ticket},
+    event::{Event as MachineEvent, Ticket},
     machine::Machine,
     minion::Call,
     options,
@@ -29,35 +30,37 @@
 use stakker::{CX, Stakker, actor, after, call, ret_shutdown, stop};
 
 use crate::{
-    exposition, inner, jobs_entry, logging,
+    exposition, internal, jobs_entry, logging,
     reactor::{self, Event, Net},
     reload,
 };
 
-/// How often time-outs are looked at.
+/// Interval at which timeouts are checked.
 const TICK: Duration = Duration::from_millis(60);
 
-/// A call under way.
+/// A call in progress.
 enum Pending {
     Minion { ticket: Ticket, call: Box<Call>, sent: Duration },
     Poll(Ticket),
-    Lead,
+    LeaderQuery,
 }
 
-/// Listening addresses.
+/// Listeners of the agent; requests at any other listener are for the metrics.
 struct Listeners {
+    /// For the minion.
     minion: ListenerId,
-    inner: ListenerId,
+    /// For other processes of the system.
+    internal: ListenerId,
 }
 
-/// The actor.
+/// State machine of the agent with the sockets that perform its effects.
 struct Role {
-    file: reload::File,
+    settings_file: reload::File,
     net: Net,
     listeners: Listeners,
     machine: Machine,
     calls: HashMap<CallId, Pending>,
-    levels: logging::Levels,
+    logger: logging::Logger,
     registry: exposition::Registry,
     metrics: StatsdClient,
 }
@@ -70,68 +73,77 @@
 
     fn tick(&mut self, cx: CX![]) {
         after!(TICK, [cx], tick());
-        self.told(cx, Told::Tick);
-        if self.file.is_due(reactor::now().steady) {
+        self.handle_machine_event(cx, MachineEvent::Tick);
+        if self.settings_file.is_due(reactor::now().steady) {
             self.reload();
         }
     }
 
-    fn event(&mut self, cx: CX![], event: Event) {
+    fn handle(&mut self, cx: CX![], event: Event) {
         match event {
             Event::Net(NetEvent::Request { caller, listener, request }) => {
-                self.request(cx, caller, listener, &request);
+                self.handle_request(cx, caller, listener, &request);
             }
-            Event::Net(NetEvent::Answer { call, result }) => self.answered(cx, call, result),
+            Event::Net(NetEvent::Answer { call, result }) => self.handle_answer(cx, call, result),
             Event::Net(NetEvent::Left(_)) => {}
             Event::Net(NetEvent::NotAccepted { kind, .. }) => {
-                self.levels.info("net", &format!("a connection was not accepted: {kind}"));
+                self.logger.info("net", &format!("a connection was not accepted: {kind}"));
             }
-            Event::Terminate => self.told(cx, Told::Terminate),
+            Event::Terminate => self.handle_machine_event(cx, MachineEvent::Terminate),
             Event::Reload => self.reload(),
-            Event::Settle => {}
+            Event::BatchEnd => {}
         }
     }
 
     fn reload(&mut self) {
-        match self.file.reload(sapphire_settings::jobs::read_agent) {
-            reload::Outcome::Same => {}
+        match self.settings_file.reload(sapphire_settings::jobs::read_agent) {
+            reload::Outcome::Unchanged => {}
             reload::Outcome::Changed(settings) => {
                 let bounds = settings.bounds.unwrap_or_default();
                 self.machine.set_stop_timeout(Duration::from_millis(bounds.stop_ms));
-                self.levels.info("member", "settings changed; bounds are in force");
+                self.logger.info("member", "settings changed; the new bounds are in force");
             }
-            reload::Outcome::Refused(findings) => {
-                self.levels.info("member", &format!("settings not taken over: {findings}"));
+            reload::Outcome::Rejected(findings) => {
+                self.logger.info(
+                    "member",
+                    &format!("new settings rejected, the previous ones stay in force: {findings}"),
+                );
             }
         }
     }
 
-    fn request(&mut self, cx: CX![], caller: CallerId, listener: ListenerId, request: &Request) {
+    fn handle_request(
+        &mut self,
+        cx: CX![],
+        caller: CallerId,
+        listener: ListenerId,
+        request: &Request,
+    ) {
         if listener == self.listeners.minion {
             let response = match platform::minion::word(request) {
                 platform::minion::Word::Beat(beat) => {
-                    self.told(cx, Told::Heartbeat(beat));
+                    self.handle_machine_event(cx, MachineEvent::Heartbeat(beat));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Leaves(id) => {
-                    self.told(cx, Told::Deregistered(id));
+                    self.handle_machine_event(cx, MachineEvent::Deregistered(id));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Unreadable(reason) => {
-                    self.levels.info("agent", &format!("a minion's call is refused: {reason}"));
+                    self.logger.info("agent", &format!("call of a minion rejected: {reason}"));
                     Response::new(400, "{}")
                 }
             };
             self.net.borrow_mut().answer(caller, &response);
-        } else if listener == self.listeners.inner {
+        } else if listener == self.listeners.internal {
             let response = match (request.method.as_str(), request.path()) {
-                ("POST", inner::LEAD) => match Lead::decode(request.body.clone()) {
+                ("POST", internal::LEADER) => match Lead::decode(request.body.clone()) {
                     Ok(lead) => {
-                        self.told(cx, Told::Leader(lead));
+                        self.handle_machine_event(cx, MachineEvent::Leader(lead));
                         Response::new(200, "")
                     }
                     Err(error) => {
-                        self.levels.info("member", &format!("a message can't be read: {error}"));
+                        self.logger.info("member", &format!("malformed message: {error}"));
                         Response::new(400, "")
                     }
                 },
@@ -144,41 +156,41 @@
         }
     }
 
-    fn answered(&mut self, cx: CX![], call: CallId, result: Result<Response, Failure>) {
+    fn handle_answer(&mut self, cx: CX![], call: CallId, result: Result<Response, Failure>) {
         match self.calls.remove(&call) {
             Some(Pending::Minion { ticket, call, sent }) => {
                 let took = reactor::now().steady.saturating_sub(sent);
                 let millis = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
-                // A time that can't be kept is not worth an error.
+                // A metric that can't be recorded is not worth an error.
                 let _ = self.metrics.time("minion", millis);
                 let reply = platform::minion::reply(&call, result);
-                self.told(cx, Told::MinionReply(ticket, reply));
+                self.handle_machine_event(cx, MachineEvent::MinionReply(ticket, reply));
             }
             Some(Pending::Poll(ticket)) => {
-                let is_declined = result.as_ref().is_ok_and(|it| it.status == inner::DECLINED);
-                let told = match inner::answer::<Orders>(result) {
-                    Some(orders) => Told::Orders(ticket, Box::new(orders)),
-                    None => Told::PollFailed { ticket, is_declined },
+                let is_declined = result.as_ref().is_ok_and(|it| it.status == internal::DECLINED);
+                let event = match internal::answer::<Orders>(result) {
+                    Some(orders) => MachineEvent::Orders(ticket, Box::new(orders)),
+                    None => MachineEvent::PollFailed { ticket, is_declined },
                 };
-                self.told(cx, told);
+                self.handle_machine_event(cx, event);
             }
-            Some(Pending::Lead) => {
-                if let Some(lead) = inner::answer::<Lead>(result) {
-                    self.told(cx, Told::Leader(lead));
+            Some(Pending::LeaderQuery) => {
+                if let Some(lead) = internal::answer::<Lead>(result) {
+                    self.handle_machine_event(cx, MachineEvent::Leader(lead));
                 }
             }
             None => {}
         }
     }
 
-    fn told(&mut self, cx: CX![], event: Told) {
+    fn handle_machine_event(&mut self, cx: CX![], event: MachineEvent) {
         let now = reactor::now().steady;
         for effect in self.machine.handle(now, event) {
-            self.effect(cx, now, effect);
+            self.perform(cx, now, effect);
         }
     }
 
-    fn effect(&mut self, cx: CX![], now: Duration, effect: Effect) {
+    fn perform(&mut self, cx: CX![], now: Duration, effect: Effect) {
         match effect {
             Effect::CallMinion { ticket, address, minion_id, call, timeout } => {
                 let Ok(target) = address.parse::<SocketAddr>() else { return };
@@ -187,20 +199,20 @@
                 self.calls.insert(id, Pending::Minion { ticket, call: Box::new(call), sent: now });
             }
             Effect::Poll { ticket, address, poll } => {
-                // A counter that can't be kept is not worth an error.
+                // A metric that can't be recorded is not worth an error.
                 let _ = self.metrics.incr("polls");
                 let hub = &mut self.net.borrow_mut();
                 let timeout = options::POLL_TIMEOUT;
-                let id = inner::call(hub, &address, "POST", inner::POLL, &*poll, timeout);
+                let id = internal::call(hub, &address, "POST", internal::POLL, &*poll, timeout);
                 self.calls.extend(id.map(|id| (id, Pending::Poll(ticket))));
             }
             Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
                 let timeout = options::LEADER_QUERY_TIMEOUT;
-                let id = inner::call(hub, &address, "GET", inner::LEAD, &(), timeout);
-                self.calls.extend(id.map(|id| (id, Pending::Lead)));
+                let id = internal::call(hub, &address, "GET", internal::LEADER, &(), timeout);
+                self.calls.extend(id.map(|id| (id, Pending::LeaderQuery)));
             }
-            Effect::Log(text) => self.levels.info("agent", &text),
+            Effect::Log(text) => self.logger.info("agent", &text),
             Effect::Exit => stop!(cx),
         }
     }
@@ -209,13 +221,14 @@
 /// Runs an agent until it has shut down.
 ///
 /// # Errors
-/// When an address can't be listened on or the system refuses what it needs.
+/// When an address can't be listened on, a signal handler can't be installed, a thread can't be
+/// started or the event loop fails.
 pub fn run(settings: &JobAgent, path: &Path) -> eyre::Result<()> {
-    let levels = logging::start_bounded(&settings.logging.clone().unwrap_or_default())?;
-    let mut hub = Hub::new().wrap_err("event loop")?;
+    let logger = logging::start_bounded(&settings.logging.clone().unwrap_or_default())?;
+    let mut hub = Hub::new().wrap_err("cannot create the event loop")?;
     let listeners = Listeners {
         minion: jobs_entry::listen(&mut hub, &settings.minion, minion_limits())?,
-        inner: jobs_entry::listen(&mut hub, &settings.address, Limits::default())?,
+        internal: jobs_entry::listen(&mut hub, &settings.address, Limits::default())?,
     };
     if !settings.metrics.is_empty() {
         jobs_entry::listen(&mut hub, &settings.metrics, minion_limits())?;
@@ -233,17 +246,17 @@
         stop_timeout: Duration::from_millis(bounds.stop_ms),
     });
     let role = Role {
-        file: reload::File::new(PathBuf::from(path), started.steady),
+        settings_file: reload::File::new(PathBuf::from(path), started.steady),
         net: net.clone(),
         listeners,
         machine,
         calls: HashMap::new(),
-        levels: levels.clone(),
+        logger: logger.clone(),
         metrics: registry.client(),
         registry,
     };
     let signals = reactor::Signals::catch()?;
-    levels.info(
+    logger.info(
         "member",
         &format!(
             "agent={} zone={} starts minion={}",
@@ -252,10 +265,11 @@
     );
     let mut stakker = Stakker::new(Instant::now());
     let actor = actor!(stakker, Role::init(role), ret_shutdown!(stakker));
-    reactor::run(&mut stakker, &actor, &net, &signals, |actor, event| call!([actor], event(event)))
+    reactor::run(&mut stakker, &actor, &net, &signals, |actor, event| call!([actor], handle(event)))
 }
 
-/// Bounds of what a minion may send: it has few connections, and its bodies may be large.
+/// Limits for requests of the minion, which opens few connections and may send large bodies. They
+/// apply to the metrics as well.
 fn minion_limits() -> Limits {
     Limits { connections: 64, body_bytes: 4 << 20, ..Limits::default() }
 }
--- a/crates/sapphired/src/jobs_entry/effects.rs
+++ b/crates/sapphired/src/jobs_entry/effects.rs
@@ -1,4 +1,4 @@
-//! What the entry's two machines want done.
+//! Performs the effects of the entry's two state machines.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,62 +7,67 @@
 use sapphire_planner::{self as planner, event::Moment, planner::Planner};
 
 use super::{Origin, Pending, Role, Work, options};
-use crate::inner;
+use crate::internal;
 
-/// Time for short calls between processes.
-const SHORT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of calls between processes that are answered at once.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Role {
+    /// Performs effects and those that follow from them, in order.
     pub(super) fn perform(&mut self, now: Moment, mut work: VecDeque<Work>) {
         while let Some(next) = work.pop_front() {
             match next {
-                Work::Front(effect) => self.front_effect(now, effect),
-                Work::Planner(effect) => self.planner_effect(now, effect, &mut work),
+                Work::Front(effect) => self.perform_front(now, effect),
+                Work::Planner(effect) => self.perform_planner(now, effect, &mut work),
             }
         }
     }
 
-    fn front_effect(&mut self, now: Moment, effect: front::effect::Effect) {
+    fn perform_front(&mut self, now: Moment, effect: front::effect::Effect) {
         use front::effect::Effect;
         match effect {
-            Effect::Answer(caller, answer) => self.answer(now, caller, &answer),
+            Effect::Answer(caller, answer) => self.send_answer(now, caller, &answer),
             Effect::Store(operation, call) => {
-                self.store_call(now, Origin::Front(operation), call);
+                self.call_store(now, Origin::Front(operation), call);
             }
             Effect::Feed { address, poll } => {
                 let hub = &mut self.net.borrow_mut();
                 let timeout = front::options::FEED_TIMEOUT;
-                let id = inner::call(hub, &address, "POST", inner::FEED, &poll, timeout);
+                let id = internal::call(hub, &address, "POST", internal::FEED, &poll, timeout);
                 self.calls.extend(id.map(|id| (id, Pending::Feed { sent: now.steady })));
             }
             Effect::Notice { address, notice } => {
                 let hub = &mut self.net.borrow_mut();
-                let id = inner::call(hub, &address, "POST", inner::NOTICE, &*notice, SHORT_TIMEOUT);
-                self.calls.extend(id.map(|id| (id, Pending::Told)));
+                let id =
+                    internal::call(hub, &address, "POST", internal::NOTICE, &*notice, CALL_TIMEOUT);
+                self.calls.extend(id.map(|id| (id, Pending::Notification)));
             }
             Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
-                let id = inner::call(hub, &address, "GET", inner::LEAD, &(), SHORT_TIMEOUT);
-                self.calls.extend(id.map(|id| (id, Pending::Lead)));
+                let id = internal::call(hub, &address, "GET", internal::LEADER, &(), CALL_TIMEOUT);
+                self.calls.extend(id.map(|id| (id, Pending::LeaderQuery)));
             }
             Effect::Catalog(catalog) => {
                 self.catalog = catalog.clone();
-                self.planner_event(now, planner::event::Event::Catalog(catalog));
+                self.handle_planner_event(now, planner::event::Event::Catalog(catalog));
             }
             Effect::CatalogVerified { revision, at } => {
-                self.planner_event(now, planner::event::Event::CatalogVerified { revision, at });
+                self.handle_planner_event(
+                    now,
+                    planner::event::Event::CatalogVerified { revision, at },
+                );
             }
             Effect::Plan(term) => {
                 let options = options::planner(&self.settings);
                 self.planner = Some(Planner::new(options, term, self.catalog.clone(), now));
-                self.planner_event(now, planner::event::Event::Tick);
+                self.handle_planner_event(now, planner::event::Event::Tick);
             }
             Effect::Resign => self.planner = None,
-            Effect::Log(text) => self.levels.info("front", &text),
+            Effect::Log(text) => self.logger.info("front", &text),
         }
     }
 
-    fn planner_effect(
+    fn perform_planner(
         &mut self,
         now: Moment,
         effect: planner::effect::Effect,
@@ -71,20 +76,20 @@
         use planner::effect::Effect;
         match effect {
             Effect::Orders(caller, orders) => {
-                self.net.borrow_mut().answer(caller, &inner::response(&*orders));
+                self.net.borrow_mut().answer(caller, &internal::response(&*orders));
             }
             Effect::Feed(caller, feed) => {
-                self.net.borrow_mut().answer(caller, &inner::response(&*feed));
+                self.net.borrow_mut().answer(caller, &internal::response(&*feed));
             }
             Effect::Decline(caller) => {
-                self.net.borrow_mut().answer(caller, &Response::new(inner::DECLINED, ""));
+                self.net.borrow_mut().answer(caller, &Response::new(internal::DECLINED, ""));
             }
             Effect::Store(operation, call) => {
                 let Some(term) = self.planner.as_ref().map(Planner::term) else { return };
-                self.store_call(now, Origin::Planner { term, operation }, call);
+                self.call_store(now, Origin::Planner { term, operation }, call);
             }
-            Effect::Announce(addresses) => self.announce(&addresses),
-            Effect::Log(text) => self.levels.info("plan", &text),
+            Effect::Announce(addresses) => self.announce_leader(&addresses),
+            Effect::Log(text) => self.logger.info("plan", &text),
             Effect::Deposed => {
                 self.planner = None;
                 work.extend(self.front.deposed(now.steady).into_iter().map(Work::Front));
@@ -92,12 +97,13 @@
         }
     }
 
-    fn announce(&mut self, addresses: &[String]) {
-        let Some(lead) = self.front.leader().cloned() else { return };
+    /// Tells agents that this entry plans.
+    fn announce_leader(&mut self, addresses: &[String]) {
+        let Some(leader) = self.front.leader().cloned() else { return };
         for address in addresses {
             let hub = &mut self.net.borrow_mut();
-            let id = inner::call(hub, address, "POST", inner::LEAD, &lead, SHORT_TIMEOUT);
-            self.calls.extend(id.map(|id| (id, Pending::Told)));
+            let id = internal::call(hub, address, "POST", internal::LEADER, &leader, CALL_TIMEOUT);
+            self.calls.extend(id.map(|id| (id, Pending::Notification)));
         }
     }
 }
--- a/crates/sapphired/src/jobs_entry/meter.rs
+++ b/crates/sapphired/src/jobs_entry/meter.rs
@@ -1,66 +1,68 @@
-//! How much of its time an entry spends on planning, second by second.
+//! Measures how much of its time an entry spends on planning, for a log line every second.
 
 use std::time::Duration;
 
 use sapphire_planner::load::Load;
 
-/// Time that one line covers.
-const SPAN: Duration = Duration::from_secs(1);
+/// Shortest time that one line covers.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sums since the last line.
+/// Sums since the previous line.
 #[derive(Debug, Default)]
 pub(super) struct Meter {
-    since: Duration,
-    before: Load,
+    interval_start: Duration,
+    /// The planner's counters at the previous line.
+    previous: Load,
     turns: u64,
     busy: Duration,
     in_passes: Duration,
-    longest: Duration,
+    longest_pass: Duration,
 }
 
 impl Meter {
-    /// Notes the time that a planner took for an event.
-    pub(super) fn event(&mut self, took: Duration) {
+    /// Records the time that the planner took for one event.
+    pub(super) fn record_event(&mut self, took: Duration) {
         self.busy += took;
     }
 
-    /// Notes the time that a planner took for what follows from a turn's events, and whether it
-    /// made a pass.
-    pub(super) fn turn(&mut self, took: Duration, is_pass: bool) {
+    /// Records the time that the planner took for the consequences of a turn's events, and whether
+    /// this included a pass.
+    pub(super) fn record_turn(&mut self, took: Duration, is_pass: bool) {
         self.turns += 1;
         self.busy += took;
         if is_pass {
             self.in_passes += took;
-            self.longest = self.longest.max(took);
+            self.longest_pass = self.longest_pass.max(took);
         }
     }
 
-    /// The line for what has been noted, once it covers long enough.
-    pub(super) fn line(&mut self, now: Duration, load: Load) -> Option<String> {
-        if load.events < self.before.events {
-            // Another term has begun.
-            self.before = Load::default();
+    /// Returns the log line for what has been recorded and starts the next interval; none while the
+    /// current interval is shorter than [`REPORT_INTERVAL`].
+    pub(super) fn report(&mut self, now: Duration, load: Load) -> Option<String> {
+        if load.events < self.previous.events {
+            // The counters restart with each term.
+            self.previous = Load::default();
         }
-        let span = now.saturating_sub(self.since);
-        if span < SPAN {
+        let span = now.saturating_sub(self.interval_start);
+        if span < REPORT_INTERVAL {
             return None;
         }
         let Load { events, passes, waiting, tried, searches } = load;
-        let before = self.before;
+        let previous = self.previous;
         let line = format!(
             "load ms={} events={} turns={} busy_ms={} passes={} pass_ms={} longest_ms={} \
              waiting={waiting} tried={} searches={}",
             span.as_millis(),
-            events - before.events,
+            events - previous.events,
             self.turns,
             self.busy.as_millis(),
-            passes.saturating_sub(before.passes),
+            passes.saturating_sub(previous.passes),
             self.in_passes.as_millis(),
-            self.longest.as_millis(),
-            tried.saturating_sub(before.tried),
-            searches.saturating_sub(before.searches),
+            self.longest_pass.as_millis(),
+            tried.saturating_sub(previous.tried),
+            searches.saturating_sub(previous.searches),
         );
-        *self = Meter { since: now, before: load, ..Meter::default() };
+        *self = Meter { interval_start: now, previous: load, ..Meter::default() };
         Some(line)
     }
 }
--- a/crates/sapphired/src/jobs_entry/mod.rs
+++ b/crates/sapphired/src/jobs_entry/mod.rs
@@ -1,5 +1,6 @@
-//! `sapphired entry` on the users' platform: callers, configuration and, while it holds the
-//! planner's key, the planner, with their I/O.
+//! Role `sapphired entry` on the users' platform: runs two state machines as one actor on the event
+//! loop and performs their effects. The front serves callers and follows the configuration; the
+//! planner exists while this entry holds the leader key.
 
 mod effects;
 mod meter;
@@ -41,66 +42,89 @@
     reload,
 };
 
-/// How often time-outs are looked at.
+/// Interval at which timeouts are checked.
 const TICK: Duration = Duration::from_millis(50);
-/// Time for the store's answer to anything but a watch. Above a store that is ninety times
-/// slower than usual (4 ms) in another region; what takes longer goes through another entry.
+/// Timeout of a direct call to the store, beyond the time for which a watch may stay open. Enough
+/// for a store in another region that is ninety times slower than its usual 4 ms; calls that would
+/// take longer are relayed through another entry.
 const STORE_TIMEOUT: Duration = Duration::from_millis(420);
-/// Time from the request to end during which callers are still served: the platform looks at
-/// readiness once a second and needs two looks.
-const LINGER: Duration = Duration::from_millis(2_600);
-/// Longest graceful shutdown, below the time after which the platform kills the process.
-const LONGEST_SHUTDOWN: Duration = Duration::from_millis(5_200);
-/// Whose call to the store it is.
+/// Minimum duration of a graceful shutdown, during which callers are still served. The platform
+/// checks readiness once a second and needs two failed checks to send callers elsewhere.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(2_600);
+/// Maximum duration of a graceful shutdown, below the time after which the platform kills the
+/// process.
+const MAX_SHUTDOWN: Duration = Duration::from_millis(5_200);
+
+/// The state machine that made a call to the store.
 #[derive(Debug)]
 enum Origin {
     Front(front::event::Operation),
-    Planner { term: u64, operation: Operation },
+    /// The planner of a term of office; answers to calls of earlier terms are dropped.
+    Planner {
+        term: u64,
+        operation: Operation,
+    },
 }
 
-/// A call under way.
+/// A call in progress.
 #[derive(Debug)]
 enum Pending {
-    Store { origin: Origin, call: Box<Call>, sent: Duration, way: Way },
-    Relay { caller: CallerId },
-    Feed { sent: Duration },
-    Lead,
-    Told,
+    Store {
+        origin: Origin,
+        call: Box<Call>,
+        sent: Duration,
+        way: Way,
+    },
+    /// Call to the store on behalf of another entry.
+    Relay {
+        caller: CallerId,
+    },
+    Feed {
+        sent: Duration,
+    },
+    LeaderQuery,
+    /// Call whose answer is not used.
+    Notification,
 }
 
-/// A caller's request that is being served.
-struct Served {
-    since: Duration,
+/// A caller's request that has not been answered yet.
+struct ActiveRequest {
+    received_at: Duration,
+    /// Method and target, for the log.
     text: String,
 }
 
-/// Listening addresses.
+/// Listeners of the entry; requests at any other listener are for the metrics.
 struct Listeners {
     callers: ListenerId,
+    /// For the platform's readiness checks.
     ready: ListenerId,
-    inner: ListenerId,
+    /// For other processes of the system.
+    internal: ListenerId,
 }
 
-/// The actor.
+/// State machines of the entry with the sockets that perform their effects.
 struct Role {
     settings: JobEntry,
-    file: reload::File,
+    settings_file: reload::File,
     net: Net,
     listeners: Listeners,
     store: SocketAddr,
     front: Machine,
+    /// The planner while this entry plans.
     planner: Option<Planner>,
     catalog: Arc<Catalog>,
     calls: HashMap<CallId, Pending>,
-    served: HashMap<CallerId, Served>,
-    levels: logging::Levels,
+    active_requests: HashMap<CallerId, ActiveRequest>,
+    logger: logging::Logger,
     registry: exposition::Registry,
     metrics: StatsdClient,
-    ending: Option<Duration>,
+    /// Time at which the shutdown was requested.
+    terminating_since: Option<Duration>,
     meter: meter::Meter,
 }
 
-/// An effect of either part that is still to be carried out.
+/// An effect of either state machine that is still to be performed.
 enum Work {
     Front(front::effect::Effect),
     Planner(planner::effect::Effect),
@@ -115,65 +139,65 @@
     fn tick(&mut self, cx: CX![]) {
         after!(TICK, [cx], tick());
         let now = reactor::now();
-        self.front_event(now, front::event::Event::Tick);
-        self.planner_event(now, planner::event::Event::Tick);
-        self.settle();
+        self.handle_front_event(now, front::event::Event::Tick);
+        self.handle_planner_event(now, planner::event::Event::Tick);
+        self.advance_planner();
         if let Some(planner) = &self.planner {
             let effects =
                 self.front.check_outage(now.steady, |since| planner.is_store_reached(since));
             self.perform(now, effects.into_iter().map(Work::Front).collect());
         }
-        if self.file.is_due(now.steady) {
+        if self.settings_file.is_due(now.steady) {
             self.reload();
         }
-        if let Some(since) = self.ending {
+        if let Some(since) = self.terminating_since {
             let is_quiet = self.net.borrow().callers() == 0 && self.front.is_idle();
             let waited = now.steady.saturating_sub(since);
-            if (is_quiet && waited >= LINGER) || waited >= LONGEST_SHUTDOWN {
-                self.levels.info("member", "stops: asked to end, callers served");
+            if (is_quiet && waited >= MIN_SHUTDOWN) || waited >= MAX_SHUTDOWN {
+                self.logger.info("member", "exits after a graceful shutdown");
                 stop!(cx);
             }
         }
     }
 
-    fn event(&mut self, _cx: CX![], event: Event) {
+    fn handle(&mut self, _cx: CX![], event: Event) {
         let now = reactor::now();
         match event {
             Event::Net(NetEvent::Request { caller, listener, request }) => {
-                self.request(now, caller, listener, request);
+                self.handle_request(now, caller, listener, request);
             }
             Event::Net(NetEvent::Left(caller)) => {
-                if let Some(served) = self.served.remove(&caller) {
-                    let text = format!("request={caller} {} caller left", served.text);
-                    self.levels.info("front", &text);
+                if let Some(active) = self.active_requests.remove(&caller) {
+                    let text = format!("request={caller} {} caller disconnected", active.text);
+                    self.logger.info("front", &text);
                 }
-                self.front_event(now, front::event::Event::Disconnected(caller));
-                self.planner_event(now, planner::event::Event::Disconnected(caller));
+                self.handle_front_event(now, front::event::Event::Disconnected(caller));
+                self.handle_planner_event(now, planner::event::Event::Disconnected(caller));
             }
-            Event::Net(NetEvent::Answer { call, result }) => self.answered(now, call, result),
+            Event::Net(NetEvent::Answer { call, result }) => self.handle_answer(now, call, result),
             Event::Net(NetEvent::NotAccepted { kind, .. }) => {
-                self.levels.info("net", &format!("a connection was not accepted: {kind}"));
+                self.logger.info("net", &format!("a connection was not accepted: {kind}"));
             }
-            Event::Settle => self.settle(),
+            Event::BatchEnd => self.advance_planner(),
             Event::Terminate => self.terminate(now),
             Event::Reload => self.reload(),
         }
     }
 
     fn terminate(&mut self, now: Moment) {
-        if self.ending.is_none() {
-            self.levels.info("member", "asked to end; serves callers, plans no more");
-            self.ending = Some(now.steady);
+        if self.terminating_since.is_none() {
+            self.logger.info("member", "shutdown requested; serves callers, stops planning");
+            self.terminating_since = Some(now.steady);
             self.net.borrow_mut().close_after_answers();
-            self.front_event(now, front::event::Event::Terminate);
+            self.handle_front_event(now, front::event::Event::Terminate);
         }
     }
 
     fn reload(&mut self) {
-        match self.file.reload(sapphire_settings::jobs::read_entry) {
-            reload::Outcome::Same => {}
+        match self.settings_file.reload(sapphire_settings::jobs::read_entry) {
+            reload::Outcome::Unchanged => {}
             reload::Outcome::Changed(settings) => {
-                self.levels.info("member", "settings changed; bounds are in force");
+                self.logger.info("member", "settings changed; the new bounds are in force");
                 let bounds = settings.bounds.unwrap_or_default();
                 self.front.set_revocation(Duration::from_millis(bounds.revocation_ms));
                 if let Some(planner) = &mut self.planner {
@@ -181,23 +205,27 @@
                 }
                 self.settings = *settings;
             }
-            reload::Outcome::Refused(findings) => {
-                self.levels.info("member", &format!("settings not taken over: {findings}"));
+            reload::Outcome::Rejected(findings) => {
+                self.logger.info(
+                    "member",
+                    &format!("new settings rejected, the previous ones stay in force: {findings}"),
+                );
             }
         }
     }
 
-    fn front_event(&mut self, now: Moment, event: front::event::Event) {
+    fn handle_front_event(&mut self, now: Moment, event: front::event::Event) {
         let effects = self.front.handle(now, event);
         self.perform(now, effects.into_iter().map(Work::Front).collect());
     }
 
-    /// Counts something. A counter that can't be kept is not worth an error.
+    /// Adds one to a counter. A metric that can't be recorded is not worth an error.
     fn count(&self, name: &str) {
         let _ = self.metrics.incr(name);
     }
 
-    fn time(&self, name: &str, took: Duration) {
+    /// Records a duration in a histogram. A metric that can't be recorded is not worth an error.
+    fn record_time(&self, name: &str, took: Duration) {
         let millis = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
         let _ = self.metrics.time(name, millis);
     }
@@ -206,14 +234,15 @@
 /// Runs an entry until it has shut down gracefully.
 ///
 /// # Errors
-/// When an address can't be listened on or the system refuses what it needs.
+/// When an address can't be listened on, a signal handler can't be installed, a thread can't be
+/// started or the event loop fails.
 pub fn run(settings: &JobEntry, path: &Path) -> eyre::Result<()> {
-    let levels = logging::start_bounded(&settings.logging.clone().unwrap_or_default())?;
-    let mut hub = Hub::new().wrap_err("event loop")?;
+    let logger = logging::start_bounded(&settings.logging.clone().unwrap_or_default())?;
+    let mut hub = Hub::new().wrap_err("cannot create the event loop")?;
     let listeners = Listeners {
         callers: listen(&mut hub, &settings.callers, options::callers())?,
         ready: listen(&mut hub, &settings.ready, options::callers())?,
-        inner: listen(&mut hub, &settings.address, Limits::default())?,
+        internal: listen(&mut hub, &settings.address, Limits::default())?,
     };
     if !settings.metrics.is_empty() {
         listen(&mut hub, &settings.metrics, options::callers())?;
@@ -223,34 +252,35 @@
     let net: Net = Rc::new(RefCell::new(hub));
     let role = Role {
         settings: settings.clone(),
-        file: reload::File::new(PathBuf::from(path), started.steady),
+        settings_file: reload::File::new(PathBuf::from(path), started.steady),
         net: net.clone(),
         listeners,
-        store: settings.store.parse().wrap_err("store")?,
+        store: settings.store.parse().wrap_err("invalid address of the store")?,
         front: Machine::new(options::front(settings, started)),
         planner: None,
         catalog: Arc::default(),
         calls: HashMap::new(),
-        served: HashMap::new(),
-        levels: levels.clone(),
+        active_requests: HashMap::new(),
+        logger: logger.clone(),
         metrics: registry.client(),
         registry,
-        ending: None,
+        terminating_since: None,
         meter: meter::Meter::default(),
     };
     let signals = reactor::Signals::catch()?;
-    levels.info("member", &format!("entry={} starts callers={}", settings.name, settings.callers));
-    role.metrics.gauge("starts", 1_u64).wrap_err("metrics")?;
+    logger.info("member", &format!("entry={} starts callers={}", settings.name, settings.callers));
+    role.metrics.gauge("starts", 1_u64).wrap_err("cannot record a metric")?;
     let mut stakker = Stakker::new(Instant::now());
     let actor = actor!(stakker, Role::init(role), ret_shutdown!(stakker));
-    reactor::run(&mut stakker, &actor, &net, &signals, |actor, event| call!([actor], event(event)))
+    reactor::run(&mut stakker, &actor, &net, &signals, |actor, event| call!([actor], handle(event)))
 }
 
 /// Listens at an address of the settings.
 ///
 /// # Errors
-/// When the address is taken or not this machine's.
+/// When the address is invalid, in use or not an address of this machine.
 pub fn listen(hub: &mut Hub, address: &str, limits: Limits) -> eyre::Result<ListenerId> {
-    let parsed: SocketAddr = address.parse().wrap_err_with(|| format!("address {address}"))?;
-    hub.listen(parsed, limits).wrap_err_with(|| format!("listen {address}"))
+    let parsed: SocketAddr =
+        address.parse().wrap_err_with(|| format!("invalid address {address}"))?;
+    hub.listen(parsed, limits).wrap_err_with(|| format!("cannot listen at {address}"))
 }
--- a/crates/sapphired/src/jobs_entry/options.rs
+++ b/crates/sapphired/src/jobs_entry/options.rs
@@ -1,4 +1,4 @@
-//! Options of the entry's parts, from its settings.
+//! Options of the entry's two state machines and limits for its callers, from the settings.
 
 use std::time::Duration;
 
@@ -9,15 +9,17 @@
 use sapphire_platform as platform;
 use sapphire_settings::JobEntry;
 
-/// Share of the platform's longest lease that minions are given. A longer lease loses less work
-/// to a short cut, a shorter one frees a lost minion's tasks sooner.
+/// Share of the platform's longest lease that is granted to minions. With a longer lease, less work
+/// is lost in a short network partition; with a shorter one, the tasks of a lost minion can be
+/// restarted sooner.
 const LEASE_SHARE: f64 = 0.6;
-/// Longest lease that minions are given.
+/// Longest lease that is granted to minions.
 const MAX_LEASE: Duration = Duration::from_secs(6);
-/// How much slower than true time a minion's clock may be, in parts of a thousand.
+/// Maximum clock drift of a minion: how much its clock may run slow, in thousandths.
 const CLOCK_DRIFT_MILLI: u32 = 20;
 
-/// Bounds of what callers may send. Clients that stall give way to others.
+/// Limits for requests of callers. When the connections are used up, the hub closes one that has
+/// stalled, so that slow clients do not keep out others.
 pub(super) fn callers() -> Limits {
     Limits {
         connections: 1_024,
@@ -28,6 +30,7 @@
     }
 }
 
+/// Options of the front.
 pub(super) fn front(settings: &JobEntry, started: Moment) -> front::options::Options {
     let bounds = settings.bounds.unwrap_or_default();
     let generation = u64::try_from(started.unix.as_micros()).unwrap_or(u64::MAX);
@@ -41,15 +44,16 @@
         catalog_key: platform::store::CONFIGURATION.to_owned(),
         read_catalog: platform::config::read,
         revocation: Duration::from_millis(bounds.revocation_ms),
-        leader_lease: Duration::from_millis(bounds.store_lease_ms).max(LEAD_LEASE),
+        leader_lease: Duration::from_millis(bounds.store_lease_ms).max(MIN_LEADER_LEASE),
         seed,
     }
 }
 
-/// Lease of the planner's key. A planner that is lost costs about this time of placement; a
-/// store that is slow must not make a planner lose its key.
-const LEAD_LEASE: Duration = Duration::from_millis(1_300);
+/// Minimum duration of the leader lease. After the loss of a planner, no task is placed for about
+/// this time; a shorter lease would be lost whenever the store is slow.
+const MIN_LEADER_LEASE: Duration = Duration::from_millis(1_300);
 
+/// Options of the planner.
 pub(super) fn planner(settings: &JobEntry) -> planner::options::Options {
     let bounds = settings.bounds.unwrap_or_default();
     let millis = Duration::from_millis;
--- a/crates/sapphired/src/jobs_entry/planning.rs
+++ b/crates/sapphired/src/jobs_entry/planning.rs
@@ -1,4 +1,4 @@
-//! The planner's turns while this entry has one.
+//! Passes events to the planner while this entry plans, and runs its turns.
 
 use sapphire_net::clock;
 use sapphire_planner::{self as planner, event::Moment};
@@ -7,33 +7,36 @@
 use crate::reactor;
 
 impl Role {
-    pub(super) fn planner_event(&mut self, now: Moment, event: planner::event::Event) {
+    /// Applies an event to the planner without its consequences, which follow at the end of the
+    /// turn. Does nothing while this entry does not plan.
+    pub(super) fn handle_planner_event(&mut self, now: Moment, event: planner::event::Event) {
         if let Some(planner) = &mut self.planner {
-            let began = clock::now();
+            let started = clock::now();
             planner.apply(now, event);
-            self.meter.event(clock::now().saturating_sub(began));
+            self.meter.record_event(clock::now().saturating_sub(started));
         }
     }
 
-    /// Has the planner do what follows from the events that it was told.
-    pub(super) fn settle(&mut self) {
+    /// Ends a turn: the planner does what follows from the events that were applied, such as a
+    /// pass, writes and answers.
+    pub(super) fn advance_planner(&mut self) {
         let now = reactor::now();
         let Some(planner) = &mut self.planner else { return };
-        let passes = planner.load().passes;
+        let passes_before = planner.load().passes;
         let effects = planner.advance(now);
         let load = planner.load();
         let end = clock::now();
         let took = end.saturating_sub(now.steady);
-        let is_pass = load.passes > passes;
+        let is_pass = load.passes > passes_before;
         if is_pass {
             planner.record_pass_duration(end, took);
         }
-        self.meter.turn(took, is_pass);
+        self.meter.record_turn(took, is_pass);
         if is_pass {
-            self.time("pass", took);
+            self.record_time("pass", took);
         }
-        if let Some(line) = self.meter.line(end, load) {
-            self.levels.info("plan", &line);
+        if let Some(line) = self.meter.report(end, load) {
+            self.logger.info("plan", &line);
         }
         self.perform(now, effects.into_iter().map(Work::Planner).collect());
     }
--- a/crates/sapphired/src/jobs_entry/requests.rs
+++ b/crates/sapphired/src/jobs_entry/requests.rs
@@ -1,4 +1,4 @@
-//! What callers and other processes ask, and the answers to this process's own calls.
+//! Requests of callers and of other processes, and the answers to the calls of this process.
 
 use prost::Message as _;
 use sapphire_front::{self as front, answer::Answer};
@@ -10,11 +10,13 @@
 use sapphire_planner::{self as planner, event::Moment};
 use sapphire_platform as platform;
 
-use super::{Pending, Role, STORE_TIMEOUT, Served};
-use crate::inner;
+use super::{ActiveRequest, Pending, Role, STORE_TIMEOUT};
+use crate::internal;
 
 impl Role {
-    pub(super) fn request(
+    /// Handles a request according to the listener at which it arrived: a caller's request, a
+    /// readiness check, a request of another process, or a request for the metrics.
+    pub(super) fn handle_request(
         &mut self,
         now: Moment,
         caller: CallerId,
@@ -23,79 +25,89 @@
     ) {
         if listener == self.listeners.callers {
             let text = format!("{} {}", request.method, request.target);
-            self.served.insert(caller, Served { since: now.steady, text });
+            self.active_requests.insert(caller, ActiveRequest { received_at: now.steady, text });
             let request = Box::new(platform::caller::request(&request));
-            self.front_event(now, front::event::Event::Request(caller, request));
+            self.handle_front_event(now, front::event::Event::Request(caller, request));
         } else if listener == self.listeners.ready {
             let status = if self.front.is_ready(now.steady) { 200 } else { 503 };
             self.net.borrow_mut().answer(caller, &Response::new(status, ""));
-        } else if listener == self.listeners.inner {
-            self.inner_request(now, caller, &request);
+        } else if listener == self.listeners.internal {
+            self.handle_internal_request(now, caller, &request);
         } else {
             let text = self.registry.text();
             self.net.borrow_mut().answer(caller, &Response::new(200, text));
         }
     }
 
-    pub(super) fn inner_request(&mut self, now: Moment, caller: CallerId, request: &Request) {
-        use planner::event::Event as Told;
+    /// Handles a request of another process of the system.
+    pub(super) fn handle_internal_request(
+        &mut self,
+        now: Moment,
+        caller: CallerId,
+        request: &Request,
+    ) {
+        use planner::event::Event;
         let body = request.body.clone();
         match (request.method.as_str(), request.path()) {
-            ("POST", inner::POLL) => match Poll::decode(body) {
-                Ok(poll) => self.ask_planner(now, caller, Told::Poll(caller, Box::new(poll))),
-                Err(error) => self.malformed(caller, &error),
+            ("POST", internal::POLL) => match Poll::decode(body) {
+                Ok(poll) => self.send_to_planner(now, caller, Event::Poll(caller, Box::new(poll))),
+                Err(error) => self.reject_malformed(caller, &error),
             },
-            ("POST", inner::FEED) => match FeedPoll::decode(body) {
-                Ok(poll) => self.ask_planner(now, caller, Told::Feed(caller, poll)),
-                Err(error) => self.malformed(caller, &error),
+            ("POST", internal::FEED) => match FeedPoll::decode(body) {
+                Ok(poll) => self.send_to_planner(now, caller, Event::Feed(caller, poll)),
+                Err(error) => self.reject_malformed(caller, &error),
             },
-            ("POST", inner::NOTICE) => match Notice::decode(body) {
+            ("POST", internal::NOTICE) => match Notice::decode(body) {
                 Ok(notice) => {
-                    let status = if self.planner.is_some() { 200 } else { inner::DECLINED };
-                    self.planner_event(now, Told::Notice(notice));
+                    let status = if self.planner.is_some() { 200 } else { internal::DECLINED };
+                    self.handle_planner_event(now, Event::Notice(notice));
                     self.net.borrow_mut().answer(caller, &Response::new(status, ""));
                 }
-                Err(error) => self.malformed(caller, &error),
+                Err(error) => self.reject_malformed(caller, &error),
             },
-            ("GET", inner::LEAD) => {
+            ("GET", internal::LEADER) => {
                 let response = match self.front.leader() {
-                    Some(lead) => inner::response(lead),
+                    Some(leader) => internal::response(leader),
                     None => Response::new(404, ""),
                 };
                 self.net.borrow_mut().answer(caller, &response);
             }
-            ("POST", inner::RELAY) => match Relay::decode(body) {
+            ("POST", internal::RELAY) => match Relay::decode(body) {
                 Ok(relay) => {
                     let request = Request::new(&relay.method, &relay.target, relay.body)
                         .with("Content-Type", "application/json");
                     let call = self.net.borrow_mut().call(self.store, &request, STORE_TIMEOUT);
                     self.calls.insert(call, Pending::Relay { caller });
                 }
-                Err(error) => self.malformed(caller, &error),
+                Err(error) => self.reject_malformed(caller, &error),
             },
             _ => self.net.borrow_mut().answer(caller, &Response::new(404, "")),
         }
     }
 
-    pub(super) fn malformed(&mut self, caller: CallerId, error: &prost::DecodeError) {
-        self.levels.info("member", &format!("a message can't be read: {error}"));
+    /// Answers 400 to a message that can't be decoded.
+    pub(super) fn reject_malformed(&mut self, caller: CallerId, error: &prost::DecodeError) {
+        self.logger.info("member", &format!("malformed message: {error}"));
         self.net.borrow_mut().answer(caller, &Response::new(400, ""));
     }
 
-    pub(super) fn ask_planner(
+    /// Passes a request to the planner, which answers it later; declines it if this entry does not
+    /// plan.
+    pub(super) fn send_to_planner(
         &mut self,
         now: Moment,
         caller: CallerId,
         event: planner::event::Event,
     ) {
         if self.planner.is_some() {
-            self.planner_event(now, event);
+            self.handle_planner_event(now, event);
         } else {
-            self.net.borrow_mut().answer(caller, &Response::new(inner::DECLINED, ""));
+            self.net.borrow_mut().answer(caller, &Response::new(internal::DECLINED, ""));
         }
     }
 
-    pub(super) fn answered(
+    /// Handles the result of a call of this process.
+    pub(super) fn handle_answer(
         &mut self,
         now: Moment,
         call: CallId,
@@ -103,37 +115,38 @@
     ) {
         match self.calls.remove(&call) {
             Some(Pending::Store { origin, call, sent, way }) => {
-                self.store_answered(now, origin, &call, sent, &way, result);
+                self.handle_store_answer(now, origin, &call, sent, &way, result);
             }
             Some(Pending::Relay { caller }) => {
                 let relayed = match result {
                     Ok(response) => Relayed { status: response.status.into(), body: response.body },
                     Err(_) => Relayed::default(),
                 };
-                self.net.borrow_mut().answer(caller, &inner::response(&relayed));
+                self.net.borrow_mut().answer(caller, &internal::response(&relayed));
             }
             Some(Pending::Feed { sent }) => {
-                let feed = inner::answer(result).map(Box::new);
-                self.front_event(now, front::event::Event::Feed { sent, feed });
+                let feed = internal::answer(result).map(Box::new);
+                self.handle_front_event(now, front::event::Event::Feed { sent, feed });
             }
-            Some(Pending::Lead) => {
-                if let Some(lead) = inner::answer::<Lead>(result) {
-                    self.front_event(now, front::event::Event::Leader(lead));
+            Some(Pending::LeaderQuery) => {
+                if let Some(leader) = internal::answer::<Lead>(result) {
+                    self.handle_front_event(now, front::event::Event::Leader(leader));
                 }
             }
-            Some(Pending::Told) | None => {}
+            Some(Pending::Notification) | None => {}
         }
     }
 
-    pub(super) fn answer(&mut self, now: Moment, caller: CallerId, answer: &Answer) {
+    /// Answers a caller's request and logs it.
+    pub(super) fn send_answer(&mut self, now: Moment, caller: CallerId, answer: &Answer) {
         let response = platform::caller::response(answer);
-        if let Some(served) = self.served.remove(&caller) {
-            let took = now.steady.saturating_sub(served.since);
-            self.time("request", took);
+        if let Some(active) = self.active_requests.remove(&caller) {
+            let took = now.steady.saturating_sub(active.received_at);
+            self.record_time("request", took);
             self.count(&format!("answers.{}", response.status));
             let (status, took) = (response.status, took.as_millis());
-            let text = format!("request={caller} {} status={status} ms={took}", served.text);
-            self.levels.info("front", &format!("{text} answer={answer:?}"));
+            let text = format!("request={caller} {} status={status} ms={took}", active.text);
+            self.logger.info("front", &format!("{text} answer={answer:?}"));
         }
         self.net.borrow_mut().answer(caller, &response);
     }
--- a/crates/sapphired/src/jobs_entry/store.rs
+++ b/crates/sapphired/src/jobs_entry/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the store: straight, or through another entry.
+//! Calls to the store, which are sent directly or relayed by another entry.
 
 use std::time::Duration;
 
@@ -11,19 +11,22 @@
 use sapphire_store::call::{Call, Reply};
 
 use super::{Origin, Pending, Role, STORE_TIMEOUT, Work};
-use crate::inner;
+use crate::internal;
 
-/// Time for another entry's answer to a relayed call.
+/// Timeout of a call that another entry relays.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(520);
-/// The same for an answer that may be as large as the store's values: the other entry has to have
-/// all of it before it passes the first byte on.
+/// Timeout of a relayed call whose answer may be large: the other entry must receive all of it
+/// before it passes on the first byte.
 const LARGE_RELAY_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for a proof of the configuration, which is large only when refused: short enough that
-/// callers are served meanwhile by the proof before.
-const PROOF_RELAY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of a relayed freshness check, whose answer is large only if there is a newer
+/// configuration. Short enough that the previous check is still valid and callers are served
+/// meanwhile.
+const FRESHNESS_RELAY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Role {
-    pub(super) fn store_answered(
+    /// Handles the result of a call: metrics, log, and the event for the state machine that made
+    /// it.
+    pub(super) fn handle_store_answer(
         &mut self,
         now: Moment,
         origin: Origin,
@@ -40,12 +43,12 @@
         let is_answered = !matches!(reply, Reply::Unavailable(_) | Reply::NotDone(_));
         let name = if is_answered { "store.answered" } else { "store.failed" };
         self.count(name);
-        self.time("store", now.steady.saturating_sub(sent));
-        self.count_purpose(&origin, &reply, bytes);
+        self.record_time("store", now.steady.saturating_sub(sent));
+        self.count_call(&origin, &reply, bytes);
         if let Reply::Unavailable(reason) | Reply::NotDone(reason) = &reply {
             let (purpose, ms) = (purpose(&origin), now.steady.saturating_sub(sent).as_millis());
             let text = format!("store call={purpose} way={way:?} ms={ms} failed: {reason}");
-            self.levels.info("front", &text);
+            self.logger.info("front", &text);
         }
         if !is_watch(call) {
             let effects = self.front.record_call(now.steady, way, is_answered);
@@ -53,25 +56,27 @@
         }
         match origin {
             Origin::Front(operation) => {
-                self.front_event(now, front::event::Event::Store { operation, sent, reply });
+                self.handle_front_event(now, front::event::Event::Store { operation, sent, reply });
             }
             Origin::Planner { term, operation } => {
                 if self.planner.as_ref().is_some_and(|planner| planner.term() == term) {
-                    self.planner_event(now, planner::event::Event::Store(operation, reply));
+                    self.handle_planner_event(now, planner::event::Event::Store(operation, reply));
                 }
             }
         }
     }
 
-    fn count_purpose(&self, origin: &Origin, reply: &Reply, bytes: usize) {
+    /// Counts a call by its purpose and outcome, and the bytes of its answer.
+    fn count_call(&self, origin: &Origin, reply: &Reply, bytes: usize) {
         let name = format!("store.{}.{}", purpose(origin), outcome(reply));
         self.count(&name);
         let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
-        // A counter that can't be kept is not worth an error.
+        // A metric that can't be recorded is not worth an error.
         let _ = self.metrics.count(&format!("store.{}.bytes", purpose(origin)), bytes);
     }
 
-    pub(super) fn store_call(&mut self, now: Moment, origin: Origin, call: Call) {
+    /// Sends a call, directly or by way of another entry as the front chooses.
+    pub(super) fn call_store(&mut self, now: Moment, origin: Origin, call: Call) {
         self.count("store.calls");
         let is_probe = matches!(origin, Origin::Front(front::event::Operation::Probe));
         let way = self.front.way(is_probe || is_watch(&call));
@@ -86,7 +91,7 @@
                     Relay { method: request.method, target: request.target, body: request.body };
                 let timeout = relay_timeout(&origin, &call);
                 let hub = &mut self.net.borrow_mut();
-                inner::call(hub, address, "POST", inner::RELAY, &relay, timeout)
+                internal::call(hub, address, "POST", internal::RELAY, &relay, timeout)
             }
         };
         let sent = now.steady;
@@ -100,7 +105,7 @@
     }
 }
 
-/// What a call to the store is for, as the metrics name it.
+/// Purpose of a call to the store, as it stands in the names of metrics and in log lines.
 fn purpose(origin: &Origin) -> &'static str {
     use front::event::Operation as Front;
     use planner::event::Operation as Plan;
@@ -128,18 +133,18 @@
     }
 }
 
-/// Time for another entry's answer to a relayed call.
+/// Timeout of a relayed call.
 fn relay_timeout(origin: &Origin, call: &Call) -> Duration {
     use front::event::Operation;
     match origin {
         Origin::Front(Operation::Catalog) => LARGE_RELAY_TIMEOUT,
-        Origin::Front(Operation::Freshness) => PROOF_RELAY_TIMEOUT,
+        Origin::Front(Operation::Freshness) => FRESHNESS_RELAY_TIMEOUT,
         Origin::Planner { .. } if matches!(call, Call::Scan { .. }) => LARGE_RELAY_TIMEOUT,
         _ => RELAY_TIMEOUT,
     }
 }
 
-/// How a call to the store ended, as the metrics name it.
+/// Outcome of a call to the store, as it stands in the names of metrics.
 fn outcome(reply: &Reply) -> &'static str {
     match reply {
         Reply::Unavailable(_) => "unanswered",
@@ -151,9 +156,9 @@
     }
 }
 
-/// Reads what another entry says of a call that it made.
+/// Decodes the result of a call that another entry made for this one.
 fn relayed_reply(call: &Call, result: Result<Response, Failure>) -> Reply {
-    match inner::answer::<Relayed>(result) {
+    match internal::answer::<Relayed>(result) {
         Some(relayed) if relayed.status > 0 => {
             let status = u16::try_from(relayed.status).unwrap_or(502);
             let response = Response::new(status, relayed.body);
@@ -163,10 +168,12 @@
     }
 }
 
+/// Whether the store may hold the call open until there are changes.
 fn is_watch(call: &Call) -> bool {
     !watch_wait(call).is_zero()
 }
 
+/// Time for which the store may hold the call open; zero for calls that are answered at once.
 fn watch_wait(call: &Call) -> Duration {
     match call {
         Call::WatchPrefix { wait, .. } if *wait > Duration::from_millis(1) => *wait,
--- a/crates/sapphired/src/logging.rs
+++ b/crates/sapphired/src/logging.rs
@@ -1,4 +1,5 @@
-//! Log lines on standard error or output: time, level, part, short sentence with key=value pairs.
+//! Log lines on standard error or standard output: time, level, part of the system, and a short
+//! sentence with `key=value` pairs.
 
 use eyre::WrapErr as _;
 use log::LevelFilter;
@@ -7,29 +8,31 @@
 
 use crate::sink;
 
-/// Levels by part.
+/// Writes log lines under the level that the settings give for each part of the system.
 #[derive(Clone, Debug)]
-pub struct Levels {
+pub struct Logger {
     settings: Logging,
 }
 
-/// Starts logging.
+/// Starts logging to standard error.
 ///
 /// # Errors
 /// When a logger was already started.
-pub fn start(settings: &Logging) -> eyre::Result<Levels> {
+pub fn start(settings: &Logging) -> eyre::Result<Logger> {
     TermLogger::init(LevelFilter::Trace, config(), TerminalMode::Stderr, ColorChoice::Never)
-        .wrap_err("logging")?;
-    Ok(Levels { settings: settings.clone() })
+        .wrap_err("cannot start logging")?;
+    Ok(Logger { settings: settings.clone() })
 }
 
-/// Starts logging to standard output, bounded and without ever waiting for it.
+/// Starts logging to standard output through a bounded queue. Never blocks: lines that do not fit
+/// are dropped and counted.
 ///
 /// # Errors
-/// When a logger was already started, or the thread that writes can't be.
-pub fn start_bounded(settings: &Logging) -> eyre::Result<Levels> {
-    WriteLogger::init(LevelFilter::Trace, config(), sink::Sink::start()?).wrap_err("logging")?;
-    Ok(Levels { settings: settings.clone() })
+/// When a logger was already started, or the writing thread can't be started.
+pub fn start_bounded(settings: &Logging) -> eyre::Result<Logger> {
+    WriteLogger::init(LevelFilter::Trace, config(), sink::Sink::start()?)
+        .wrap_err("cannot start logging")?;
+    Ok(Logger { settings: settings.clone() })
 }
 
 fn config() -> Config {
@@ -42,8 +45,9 @@
         .build()
 }
 
-impl Levels {
-    fn of(&self, part: &str) -> LevelFilter {
+impl Logger {
+    /// Level of a part; the general level for parts without a setting of their own.
+    fn level(&self, part: &str) -> LevelFilter {
         let level = match part {
             "route" => &self.settings.route,
             "plan" => &self.settings.plan,
@@ -56,9 +60,9 @@
         level.parse().unwrap_or(LevelFilter::Info)
     }
 
-    /// Writes one line of a part.
+    /// Writes one line, preceded by the name of the part, if the part's level allows it.
     pub fn info(&self, part: &str, text: &str) {
-        if self.of(part) >= LevelFilter::Info {
+        if self.level(part) >= LevelFilter::Info {
             log::info!(target: "sapphire", "{part}: {text}");
         }
     }
--- a/crates/sapphired/src/main.rs
+++ b/crates/sapphired/src/main.rs
@@ -1,11 +1,16 @@
-//! The daemon: `sapphired entry` on the entry VMs, `sapphired agent` beside each upstream.
+//! The daemon `sapphired`: `sapphired entry` runs on the entry VMs, `sapphired agent` beside each
+//! upstream. Parses the command line and the settings and starts the role.
+//!
+//! Each role exists twice: `entry_role` and `agent_role` run on threads and message sockets;
+//! `jobs_entry` and `jobs_agent` run on one event loop and serve the users' platform. A settings
+//! file with the key `platform` selects the latter.
 
 mod agent_role;
 mod clock;
 mod entry_role;
 mod exposition;
 mod http;
-mod inner;
+mod internal;
 mod jobs_agent;
 mod jobs_entry;
 mod logging;
@@ -55,19 +60,19 @@
     /// settings file (YAML)
     #[argh(option)]
     settings: PathBuf,
-    /// check the settings and stop
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
 
-/// Guard one worker, one minion, or both.
+/// Run beside a worker, a minion, or both.
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "agent")]
 struct Agent {
     /// settings file (YAML)
     #[argh(option)]
     settings: PathBuf,
-    /// check the settings and stop
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
@@ -106,10 +111,11 @@
 }
 
 fn read(path: &Path) -> eyre::Result<String> {
-    fs::read_to_string(path).wrap_err_with(|| format!("settings {}", path.display()))
+    fs::read_to_string(path)
+        .wrap_err_with(|| format!("cannot read settings file {}", path.display()))
 }
 
-/// Parses settings; with findings, prints them all and exits.
+/// Parses settings; if there are findings, prints all of them and exits with [`EXIT_SETTINGS`].
 fn parse<T>(path: &Path, text: &str, parse: fn(&str) -> Result<T, Vec<finding::Finding>>) -> T {
     match parse(text) {
         Ok(settings) => settings,
--- a/crates/sapphired/src/mesh.rs
+++ b/crates/sapphired/src/mesh.rs
@@ -1,6 +1,7 @@
-//! Messages between processes over nng: one listening socket, one dialling socket a peer.
+//! Messages between processes over nng: one listening socket, and one dialling socket for each
+//! peer.
 //!
-//! Messages may be lost when a peer is away; the state machines repeat what matters.
+//! Messages may be lost while a peer is unreachable; the state machines repeat those that matter.
 
 use std::{
     collections::BTreeMap,
@@ -18,35 +19,37 @@
 
 use crate::runtime;
 
-/// Messages kept for a peer that is not connected.
-const SEND_BUFFER: i32 = 512;
-const RECONNECT_MIN: Duration = Duration::from_millis(20);
-const RECONNECT_MAX: Duration = Duration::from_secs(1);
-/// A peer not spoken to for this long is disconnected.
-const IDLE: Duration = Duration::from_secs(60);
+/// Messages that are queued for a peer that is not connected.
+const SEND_BUFFER_MESSAGES: i32 = 512;
+/// First delay before a connection is retried; nng doubles it up to [`MAX_RECONNECT_DELAY`].
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// Longest delay before a connection is retried.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// Time without a message to a peer after which its connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Link {
     socket: Socket,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// What became of a message handed to [`Mesh::send`].
+/// Outcome of [`Mesh::send`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// On its way; this many bytes.
+    /// Queued for sending, with its size in bytes.
     Queued(usize),
-    /// Dropped: the peer is away and its buffer is full.
+    /// Dropped: the address is invalid, or the peer is unreachable and its queue is full.
     Dropped,
 }
 
-/// Connections to other processes.
+/// Outgoing connections to other processes, by address.
 #[derive(Default)]
 pub struct Mesh {
     links: BTreeMap<id::Address, Link>,
 }
 
 impl Mesh {
-    /// Sends a message, connecting first if need be. Never waits.
+    /// Sends a message, after opening a connection if there is none. Never blocks.
     pub fn send(&mut self, address: &str, envelope: envelope::Envelope) -> Sent {
         let Some(socket) = self.socket(address) else { return Sent::Dropped };
         let bytes = envelope.encode();
@@ -60,29 +63,29 @@
     fn socket(&mut self, address: &str) -> Option<&Socket> {
         if !self.links.contains_key(address) {
             let socket = dial(address).ok()?;
-            self.links.insert(address.to_owned(), Link { socket, used: Instant::now() });
+            self.links.insert(address.to_owned(), Link { socket, last_used: Instant::now() });
         }
         let link = self.links.get_mut(address)?;
-        link.used = Instant::now();
+        link.last_used = Instant::now();
         Some(&link.socket)
     }
 
-    /// Closes connections that have not been used for long.
+    /// Closes connections that have not been used for [`IDLE_TIMEOUT`].
     pub fn close_idle(&mut self) {
-        self.links.retain(|_, link| link.used.elapsed() < IDLE);
+        self.links.retain(|_, link| link.last_used.elapsed() < IDLE_TIMEOUT);
     }
 }
 
 fn dial(address: &str) -> nng::Result<Socket> {
     let socket = Socket::new(Protocol::Push0)?;
-    socket.set_opt::<SendBufferSize>(SEND_BUFFER)?;
-    socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))?;
-    socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))?;
+    socket.set_opt::<SendBufferSize>(SEND_BUFFER_MESSAGES)?;
+    socket.set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY))?;
+    socket.set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY))?;
     socket.dial_async(&format!("tcp://{address}"))?;
     Ok(socket)
 }
 
-/// Listens at an address and hands each message to `event`.
+/// Listens at an address and sends an event for each message that arrives, made by `event`.
 ///
 /// # Errors
 /// When the address can't be listened on.
@@ -91,9 +94,13 @@
     events: Sender<E>,
     event: impl Fn(envelope::Envelope) -> E + Send + 'static,
 ) -> eyre::Result<()> {
-    let socket = Socket::new(Protocol::Pull0).wrap_err("socket")?;
-    socket.set_opt::<RecvMaxSize>(envelope::MAX_BYTES).wrap_err("socket")?;
-    socket.listen(&format!("tcp://{address}")).wrap_err_with(|| format!("listen {address}"))?;
+    let socket = Socket::new(Protocol::Pull0).wrap_err("cannot create the listening socket")?;
+    socket
+        .set_opt::<RecvMaxSize>(envelope::MAX_BYTES)
+        .wrap_err("cannot create the listening socket")?;
+    socket
+        .listen(&format!("tcp://{address}"))
+        .wrap_err_with(|| format!("cannot listen at {address}"))?;
     runtime::spawn("mesh", move || {
         while let Ok(message) = socket.recv() {
             match envelope::Envelope::decode(Bytes::copy_from_slice(&message)) {
--- a/crates/sapphired/src/minion.rs
+++ b/crates/sapphired/src/minion.rs
@@ -1,4 +1,4 @@
-//! The minion over HTTP/1.1: one thread a slot.
+//! HTTP/1.1 client of the minion, with one thread for each of the minion's slots.
 
 use std::{io, time::Duration};
 
@@ -9,18 +9,18 @@
 
 use crate::runtime;
 
-/// Largest answer, in bytes.
-const MAX_ANSWER: u64 = 8 << 20;
-/// Longest idle time of a kept connection; below what minions usually allow.
-const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Maximum size of the body of an answer.
+const MAX_ANSWER_BYTES: u64 = 8 << 20;
+/// Time for which an idle connection is kept; less than minions usually keep theirs.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(4);
 
-/// Takes calls to the minion and answers them as events.
+/// Queue of calls to the minion; the results are reported as events.
 pub struct Minion {
     calls: Sender<effect::Call>,
 }
 
 impl Minion {
-    /// Starts one thread a slot.
+    /// Starts one thread for each slot.
     ///
     /// # Errors
     /// When a thread can't be started.
@@ -29,18 +29,18 @@
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
-            .max_idle_age(MAX_IDLE)
+            .max_idle_age(MAX_IDLE_AGE)
             .max_idle_connections_per_host(slots as usize)
             .allow_non_standard_methods(true)
             .build();
         let agent: ureq::Agent = config.into();
         for _ in 0..slots {
-            let caller = Caller { base: format!("http://{address}"), agent: agent.clone() };
+            let client = Client { base: format!("http://{address}"), agent: agent.clone() };
             let (queue, events): (Receiver<effect::Call>, _) = (queue.clone(), events.clone());
             runtime::spawn("minion", move || {
                 for call in queue {
                     let attempt = call.attempt.clone();
-                    let result = caller.ask(call);
+                    let result = client.send(call);
                     let response = effect::Response { attempt, result };
                     if events.send(event::Event::MinionAnswered(response)).is_err() {
                         return;
@@ -51,20 +51,20 @@
         Ok(Minion { calls })
     }
 
-    /// Hands a request to the minion.
+    /// Queues a request for the minion.
     pub fn call(&self, call: effect::Call) {
         self.calls.send(call).expect("the threads live as long as the process");
     }
 }
 
-struct Caller {
+struct Client {
     base: String,
     agent: ureq::Agent,
 }
 
-impl Caller {
-    fn ask(&self, call: effect::Call) -> Result<effect::Answer, effect::Failure> {
-        let is_rejected = |error: &dyn std::fmt::Display| effect::Failure {
+impl Client {
+    fn send(&self, call: effect::Call) -> Result<effect::Answer, effect::Failure> {
+        let undeliverable = |error: &dyn std::fmt::Display| effect::Failure {
             is_undelivered: true,
             reason: format!("the request can't be passed on: {error}"),
         };
@@ -74,7 +74,7 @@
         for header in &call.headers {
             builder = builder.header(header.name.as_str(), header.value.as_str());
         }
-        let request = builder.body(call.body.to_vec()).map_err(|error| is_rejected(&error))?;
+        let request = builder.body(call.body.to_vec()).map_err(|error| undeliverable(&error))?;
         let request =
             self.agent.configure_request(request).timeout_global(Some(call.time_left)).build();
         let mut response = self.agent.run(request).map_err(|error| failure(&error))?;
@@ -84,14 +84,14 @@
             value: String::from_utf8_lossy(value.as_bytes()).into_owned(),
         });
         let headers = headers.collect();
-        let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec();
-        let body = Bytes::from(body.map_err(|error| failure_after(&error))?);
+        let body = response.body_mut().with_config().limit(MAX_ANSWER_BYTES).read_to_vec();
+        let body = Bytes::from(body.map_err(|error| body_failure(&error))?);
         Ok(effect::Answer { status, headers, body })
     }
 }
 
-/// The minion has not seen a request whose connection was refused; of any other failure it is
-/// not known.
+/// Describes a request that got no answer. The minion certainly did not receive it if no connection
+/// was established; after any other error it may have.
 fn failure(error: &ureq::Error) -> effect::Failure {
     let is_undelivered = match error {
         ureq::Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -101,6 +101,7 @@
     effect::Failure { is_undelivered, reason: format!("the minion: {error}") }
 }
 
-fn failure_after(error: &ureq::Error) -> effect::Failure {
+/// Describes an answer whose body could not be read.
+fn body_failure(error: &ureq::Error) -> effect::Failure {
     effect::Failure { is_undelivered: false, reason: format!("the minion's answer: {error}") }
 }
--- a/crates/sapphired/src/reactor.rs
+++ b/crates/sapphired/src/reactor.rs
@@ -1,4 +1,5 @@
-//! The main loop of a role on the event loop: sockets, timers and signals feed one actor.
+//! Main loop of the roles that run on one event loop: passes socket events and signals to one actor
+//! and runs the actor's timers.
 
 use std::{
     cell::RefCell,
@@ -16,53 +17,55 @@
 use signal_hook::{consts, flag};
 use stakker::{ActorOwn, Stakker};
 
-/// All sockets, shared by the loop and the actor.
+/// All sockets of the process, shared by the main loop and the actor.
 pub type Net = Rc<RefCell<hub::Hub>>;
 
 /// Longest sleep when no timer is due.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// What the actor is told.
+/// An event for the actor.
 #[derive(Debug)]
 pub enum Event {
-    /// Something has happened on a socket.
+    /// An event on a socket.
     Net(hub::Event),
-    /// All that has happened so far has been told.
-    Settle,
-    /// The process is asked to end.
+    /// All socket events that were pending have been delivered.
+    BatchEnd,
+    /// SIGTERM or SIGINT: the process shall shut down.
     Terminate,
-    /// The settings may have changed.
+    /// SIGHUP: the settings may have changed.
     Reload,
 }
 
-/// Signals that were caught and not handled yet.
+/// Flags of signals that were caught and have not been handled yet.
 pub struct Signals {
     terminate: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Catches SIGTERM, SIGINT and SIGHUP.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// When the system refuses a handler.
+    /// When a handler can't be installed.
     pub fn catch() -> eyre::Result<Self> {
         let signals = Signals { terminate: Arc::default(), reload: Arc::default() };
         for signal in [consts::SIGTERM, consts::SIGINT] {
-            flag::register(signal, signals.terminate.clone()).wrap_err("signals")?;
+            flag::register(signal, signals.terminate.clone())
+                .wrap_err("cannot install signal handlers")?;
         }
-        flag::register(consts::SIGHUP, signals.reload.clone()).wrap_err("signals")?;
+        flag::register(consts::SIGHUP, signals.reload.clone())
+            .wrap_err("cannot install signal handlers")?;
         Ok(signals)
     }
 }
 
-/// The time now.
+/// Current time of the monotonic clock and of the wall clock.
 pub fn now() -> Moment {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Moment { steady: clock::now(), unix }
 }
 
-/// Runs an actor until it shuts the process down.
+/// Runs an actor until it requests the shutdown of the process.
 ///
 /// # Errors
 /// When the system's event queue fails.
@@ -76,16 +79,16 @@
     stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
         let wait = stakker.next_wait_max(Instant::now(), MAX_SLEEP, false);
-        net.borrow_mut().poll(wait).wrap_err("event loop")?;
-        let mut has_news = false;
+        net.borrow_mut().poll(wait).wrap_err("event loop failed")?;
+        let mut has_events = false;
         loop {
             let Some(event) = net.borrow_mut().next_event() else { break };
-            has_news = true;
+            has_events = true;
             deliver(actor, Event::Net(event));
             stakker.run(Instant::now(), false);
         }
-        if has_news {
-            deliver(actor, Event::Settle);
+        if has_events {
+            deliver(actor, Event::BatchEnd);
         }
         if signals.terminate.swap(false, Ordering::Relaxed) {
             deliver(actor, Event::Terminate);
--- a/crates/sapphired/src/reload.rs
+++ b/crates/sapphired/src/reload.rs
@@ -1,60 +1,62 @@
-//! The settings file, looked at again on a signal and from time to time.
+//! Reloading of the settings file, on SIGHUP and periodically.
 
 use std::{fs, path::PathBuf, time::Duration};
 
 use sapphire_settings::finding;
 
-/// How often the file is looked at without a signal.
-const INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the file is checked for changes without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The file as it was last read.
+/// The settings file, with its text at the last reading.
 pub struct File {
     path: PathBuf,
     text: String,
-    next: Duration,
+    /// Time of the next check without a signal.
+    next_check: Duration,
 }
 
-/// What a look at the file has found.
+/// Outcome of [`File::reload`].
 pub enum Outcome<T> {
-    /// Nothing new.
-    Same,
-    /// New settings.
+    /// The file has not changed.
+    Unchanged,
+    /// The file has changed; its new settings.
     Changed(Box<T>),
-    /// New settings with faults; the old ones stay in force.
-    Refused(String),
+    /// The file can't be read or its new text has findings; the reason. The previous settings stay
+    /// in force.
+    Rejected(String),
 }
 
 impl File {
-    /// A file that has just been read.
+    /// Reads the text against which later changes are detected.
     pub fn new(path: PathBuf, now: Duration) -> Self {
         let text = fs::read_to_string(&path).unwrap_or_default();
-        File { path, text, next: now + INTERVAL }
+        File { path, text, next_check: now + CHECK_INTERVAL }
     }
 
-    /// Whether it is time to look again without a signal.
+    /// Whether the next check is due; if so, schedules the one after it.
     pub fn is_due(&mut self, now: Duration) -> bool {
-        let is_due = now >= self.next;
+        let is_due = now >= self.next_check;
         if is_due {
-            self.next = now + INTERVAL;
+            self.next_check = now + CHECK_INTERVAL;
         }
         is_due
     }
 
-    /// Looks at the file.
+    /// Reads the file and parses it if it has changed since the last reading.
     pub fn reload<T>(&mut self, parse: fn(&str) -> Result<T, Vec<finding::Finding>>) -> Outcome<T> {
         let text = match fs::read_to_string(&self.path) {
             Ok(text) => text,
-            Err(error) => return Outcome::Refused(error.to_string()),
+            Err(error) => return Outcome::Rejected(error.to_string()),
         };
         if text == self.text {
-            return Outcome::Same;
+            return Outcome::Unchanged;
         }
         self.text = text;
         match parse(&self.text) {
             Ok(settings) => Outcome::Changed(Box::new(settings)),
             Err(findings) => {
                 let name = self.path.display().to_string();
-                Outcome::Refused(finding::report(&name, &findings).trim_end().replace('\n', "; "))
+                Outcome::Rejected(finding::report(&name, &findings).trim_end().replace('\n', "; "))
             }
         }
     }
--- a/crates/sapphired/src/runtime.rs
+++ b/crates/sapphired/src/runtime.rs
@@ -1,4 +1,5 @@
-//! The main thread: feeds events from other threads to one actor, and runs its timers.
+//! Main loop of the roles that run on threads: passes events from the other threads to one actor
+//! and runs the actor's timers. Also starts helper threads and watches signals.
 
 use std::{
     thread,
@@ -10,14 +11,14 @@
 use signal_hook::{consts, iterator};
 use stakker::{ActorOwn, Stakker};
 
-/// Events taken in one turn before timers run.
+/// Maximum number of further events that are delivered in one turn before timers run.
 const MAX_BATCH: usize = 256;
 /// Longest sleep when no timer is due.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
-/// Events that may wait for the main thread; a sender beyond it waits.
+/// Capacity of the queue of events for the main thread; when it is full, senders block.
 pub const MAX_EVENTS: usize = 65_536;
 
-/// Runs an actor until it shuts the process down.
+/// Runs an actor until it requests the shutdown of the process or all senders of events are gone.
 pub fn run<A: 'static, E>(
     stakker: &mut Stakker,
     actor: &ActorOwn<A>,
@@ -41,16 +42,16 @@
     }
 }
 
-/// Sends an event when the process is asked to end, by SIGTERM or SIGINT.
+/// Sends an event on each SIGTERM and SIGINT, which request the end of the process.
 ///
 /// # Errors
-/// When signals can't be watched or the thread can't be started.
+/// When the signal handlers can't be installed or the thread can't be started.
 pub fn watch_signals<E: Send + 'static>(
     events: Sender<E>,
     event: impl Fn() -> E + Send + 'static,
 ) -> eyre::Result<()> {
-    let mut signals =
-        iterator::Signals::new([consts::SIGTERM, consts::SIGINT]).wrap_err("signals")?;
+    let mut signals = iterator::Signals::new([consts::SIGTERM, consts::SIGINT])
+        .wrap_err("cannot install signal handlers")?;
     spawn("signals", move || {
         for _ in signals.forever() {
             if events.send(event()).is_err() {
@@ -60,15 +61,15 @@
     })
 }
 
-/// Stack of a helper thread, in bytes.
-const STACK: usize = 256 * 1024;
+/// Stack size of a helper thread.
+const STACK_BYTES: usize = 256 * 1024;
 
 /// Starts a named helper thread with a small stack.
 ///
 /// # Errors
 /// When the system refuses another thread.
 pub fn spawn(name: &str, body: impl FnOnce() + Send + 'static) -> eyre::Result<()> {
-    let builder = thread::Builder::new().name(name.to_owned()).stack_size(STACK);
-    builder.spawn(body).wrap_err_with(|| format!("thread {name}"))?;
+    let builder = thread::Builder::new().name(name.to_owned()).stack_size(STACK_BYTES);
+    builder.spawn(body).wrap_err_with(|| format!("cannot start thread {name}"))?;
     Ok(())
 }
--- a/crates/sapphired/src/sink.rs
+++ b/crates/sapphired/src/sink.rs
@@ -1,4 +1,5 @@
-//! Standard output for log lines: bounded, and never in the way of the process.
+//! Writes log lines to standard output from a thread of its own, through a bounded queue, so that a
+//! stalled reader never blocks the process.
 
 use std::{
     io::{self, Write},
@@ -12,38 +13,40 @@
 
 use crate::runtime;
 
-/// Lines that may wait for standard output. A reader that stalls for longer costs lines, which
-/// are counted, and neither memory nor time of the process.
-const MAX_LINES: usize = 2_048;
+/// Maximum number of lines that wait for standard output. While the queue is full, further lines
+/// are dropped and counted, so that a stalled reader costs the process neither memory nor time.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// A writer that takes whole lines.
+/// Writer that queues each complete line for standard output.
 pub struct Sink {
     lines: Sender<Vec<u8>>,
+    /// Line that is not complete yet.
     line: Vec<u8>,
+    /// Lines dropped since the last report.
     dropped: Arc<AtomicU64>,
 }
 
 impl Sink {
-    /// Starts the thread that writes.
+    /// Starts the thread that writes to standard output.
     ///
     /// # Errors
     /// When the thread can't be started.
     pub fn start() -> eyre::Result<Self> {
-        let (lines, queue) = bounded(MAX_LINES);
+        let (lines, queue) = bounded(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
-        runtime::spawn("log", move || write_all(&queue, &counted))?;
+        let dropped_in_thread = dropped.clone();
+        runtime::spawn("log", move || write_lines(&queue, &dropped_in_thread))?;
         Ok(Sink { lines, line: Vec::new(), dropped })
     }
 }
 
-fn write_all(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+fn write_lines(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = io::stdout().lock();
     for line in queue {
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            // Nobody is left to tell when standard output itself fails.
-            let _ = writeln!(out, "log: lines_dropped={lost}");
+        let count = dropped.swap(0, Ordering::Relaxed);
+        if count > 0 {
+            // If standard output itself fails, there is nowhere to report the error.
+            let _ = writeln!(out, "log: lines_dropped={count}");
         }
         let _ = out.write_all(&line);
         if queue.is_empty() {
--- a/crates/sapphired/src/store.rs
+++ b/crates/sapphired/src/store.rs
@@ -1,4 +1,5 @@
-//! Threads that make calls to the platform's key-value service.
+//! Client of the key-value store: makes calls on threads of its own and reports each reply as an
+//! event.
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use sapphire_entry::event;
@@ -6,15 +7,16 @@
 
 use crate::runtime;
 
-/// Threads for calls that are answered at once.
+/// Threads for calls other than watches, which the store answers at once.
 const CALL_THREADS: usize = 2;
 
-type Job = (event::Operation, call::Call);
+/// A call with the identifier under which its reply is reported.
+type Request = (event::Operation, call::Call);
 
-/// Takes calls and answers them as events.
+/// Queues of calls for the threads.
 pub struct Store {
-    calls: Sender<Job>,
-    watches: Sender<Job>,
+    calls: Sender<Request>,
+    watches: Sender<Request>,
 }
 
 impl Store {
@@ -25,15 +27,15 @@
     pub fn start(address: &str, events: &Sender<event::Event>) -> eyre::Result<Self> {
         let (calls, queue) = unbounded();
         for _ in 0..CALL_THREADS {
-            serve("store", address, queue.clone(), events.clone())?;
+            spawn_client("store", address, queue.clone(), events.clone())?;
         }
         let (watches, queue) = unbounded();
-        serve("store-watch", address, queue, events.clone())?;
+        spawn_client("store-watch", address, queue, events.clone())?;
         Ok(Store { calls, watches })
     }
 
-    /// Makes a call; its answer comes as an event. A watch has a thread of its own, so that it
-    /// delays no other call.
+    /// Queues a call; its reply is reported as an event. Watches have a thread of their own, so
+    /// that they delay no other call.
     pub fn call(&self, operation: event::Operation, call: call::Call) {
         let is_watch = matches!(call, call::Call::Watch { .. });
         let threads = if is_watch { &self.watches } else { &self.calls };
@@ -41,10 +43,11 @@
     }
 }
 
-fn serve(
+/// Starts a thread that makes the calls of a queue one after the other.
+fn spawn_client(
     name: &str,
     address: &str,
-    queue: Receiver<Job>,
+    queue: Receiver<Request>,
     events: Sender<event::Event>,
 ) -> eyre::Result<()> {
     let client = http::Client::new(address);
--- a/crates/sapphired/src/worker.rs
+++ b/crates/sapphired/src/worker.rs
@@ -1,7 +1,8 @@
-//! The worker's own interface over HTTP/1.1: the one module that knows its protocol.
+//! HTTP/1.1 client of the worker's own interface. No other module knows its protocol.
 //!
-//! `POST /reset`, `POST /run`, `POST /renew`, `POST /checkpoint` and `POST /stop` take JSON;
-//! `GET /tasks?after=VERSION` answers when there is a later version, or after a while.
+//! `POST /reset`, `POST /run`, `POST /renew`, `POST /checkpoint` and `POST /stop` take JSON.
+//! `GET /tasks?after=VERSION` is a long poll: the worker answers as soon as its list of tasks has a
+//! later version, or after some time without one.
 
 use std::{
     collections::BTreeSet,
@@ -18,36 +19,38 @@
 
 use crate::runtime;
 
+/// Timeout of a call other than the long poll.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of the long poll for the list of tasks.
 const POLL_TIMEOUT: Duration = Duration::from_secs(40);
-/// Wait after a call that failed.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before a failed call is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// One call to the worker.
+/// A call to the worker.
 #[derive(Debug)]
 pub enum Call {
-    /// Stop everything.
+    /// Stop all tasks.
     Reset,
-    /// Start tasks.
+    /// Start the tasks of an attempt under a lease.
     Run(effect::Run),
-    /// Extend a lease.
+    /// Extend the lease of an attempt to the given time from now.
     Renew(id::Attempt, Duration),
-    /// Ask for a checkpoint.
+    /// Ask the tasks of an attempt for a checkpoint.
     Checkpoint(id::Attempt),
-    /// Stop tasks.
+    /// Stop the tasks of an attempt.
     Stop(id::Attempt),
 }
 
-/// Attempts that the worker is thought to run.
+/// Attempts that were started on the worker and have not been reported as ended.
 type Running = Arc<Mutex<BTreeSet<id::Attempt>>>;
 
-/// Takes calls to the worker and reports how tasks end.
+/// Queue of calls to the worker. The ends of tasks and their checkpoints are reported as events.
 pub struct Worker {
     calls: Sender<Call>,
 }
 
 impl Worker {
-    /// Starts the threads.
+    /// Starts a thread that makes calls and one that watches the list of tasks.
     ///
     /// # Errors
     /// When a thread can't be started.
@@ -58,14 +61,14 @@
     ) -> eyre::Result<Self> {
         let (calls, queue) = unbounded();
         let running = Running::default();
-        let caller = Caller {
+        let client = Client {
             base: format!("http://{address}"),
             agent: agent(CALL_TIMEOUT),
             lease,
             running: running.clone(),
             events: events.clone(),
         };
-        runtime::spawn("worker", move || caller.serve(&queue))?;
+        runtime::spawn("worker", move || client.serve(&queue))?;
         let watcher = Watcher {
             base: format!("http://{address}"),
             agent: agent(POLL_TIMEOUT),
@@ -77,7 +80,7 @@
         Ok(Worker { calls })
     }
 
-    /// Makes a call, in order.
+    /// Queues a call; calls are made in the order in which they were queued.
     pub fn call(&self, call: Call) {
         self.calls.send(call).expect("the thread lives as long as the process");
     }
@@ -87,7 +90,7 @@
     ureq::Agent::config_builder().timeout_global(Some(timeout)).build().into()
 }
 
-fn ended(attempt: &str, exit_code: Option<i32>, reason: &str) -> event::Event {
+fn task_ended(attempt: &str, exit_code: Option<i32>, reason: &str) -> event::Event {
     event::Event::TaskEnded(event::TaskEnd {
         attempt: attempt.to_owned(),
         exit_code,
@@ -95,7 +98,8 @@
     })
 }
 
-struct Caller {
+/// Makes the calls of the queue.
+struct Client {
     base: String,
     agent: ureq::Agent,
     lease: Duration,
@@ -103,7 +107,7 @@
     events: Sender<event::Event>,
 }
 
-impl Caller {
+impl Client {
     fn serve(&self, queue: &Receiver<Call>) {
         for call in queue {
             match call {
@@ -130,19 +134,21 @@
         request.send(body.to_string().as_bytes()).map(|_| ())
     }
 
-    /// A worker that does not know the tasks has restarted, or their lease lapsed there.
+    /// Extends a lease. If the worker answers 404, it has restarted or the lease has expired there:
+    /// the tasks no longer run and are reported as ended.
     fn renew(&self, attempt: &str, lease: Duration) {
         let body = json!({ "attempt": attempt, "lease_ms": millis(lease) });
         if let Err(ureq::Error::StatusCode(404)) = self.send("renew", &body) {
             self.forget(attempt);
-            let _ = self.events.send(ended(attempt, None, "the worker no longer runs it"));
+            let _ = self.events.send(task_ended(attempt, None, "the worker no longer runs it"));
         }
     }
 
-    /// Repeats until the worker answers: before that nothing here may start.
+    /// Stops all tasks on the worker. Repeats the call until the worker answers, since no task may
+    /// start before that.
     fn reset(&self) {
         while !self.post("reset", &json!({})) {
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_DELAY);
         }
         let _ = self.events.send(event::Event::WorkerReset);
     }
@@ -160,34 +166,35 @@
             "lease_ms": millis(run.lease),
         });
         if !self.post("run", &body) {
-            self.give_up(&run.attempt);
+            self.abort_start(&run.attempt);
         }
     }
 
-    /// The start got no answer, so the tasks may run: they have ended for certain only when the
-    /// worker says that they are stopped, or when their lease has lapsed there.
-    fn give_up(&self, attempt: &str) {
-        let since = Instant::now();
+    /// Handles a start that failed or got no answer. The tasks may run nevertheless; they have
+    /// certainly ended only after the worker has confirmed a stop, or after their lease has expired
+    /// there.
+    fn abort_start(&self, attempt: &str) {
+        let started = Instant::now();
         while !self.post("stop", &json!({ "attempt": attempt })) {
-            if since.elapsed() > self.lease {
+            if started.elapsed() > self.lease {
                 break;
             }
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_DELAY);
         }
         self.forget(attempt);
-        let _ = self.events.send(ended(attempt, None, "the worker did not start it"));
+        let _ = self.events.send(task_ended(attempt, None, "the worker did not start it"));
     }
 
     fn stop(&self, attempt: &str) {
         let is_running =
             self.running.lock().expect("no thread panics while it holds this").contains(attempt);
         if !is_running {
-            let _ = self.events.send(ended(attempt, None, "stopped"));
+            let _ = self.events.send(task_ended(attempt, None, "stopped"));
             return;
         }
         if self.post("stop", &json!({ "attempt": attempt })) {
             self.forget(attempt);
-            let _ = self.events.send(ended(attempt, None, "stopped"));
+            let _ = self.events.send(task_ended(attempt, None, "stopped"));
         }
     }
 
@@ -196,8 +203,10 @@
     }
 }
 
+/// Answer to the long poll.
 #[derive(Deserialize)]
 struct Tasks {
+    /// Grows with each change of the list, until the worker restarts.
     version: u64,
     tasks: Vec<Task>,
 }
@@ -221,6 +230,7 @@
     Stopped,
 }
 
+/// Watches the worker's list of tasks and reports the ends of tasks and their checkpoints.
 struct Watcher {
     base: String,
     agent: ureq::Agent,
@@ -232,23 +242,24 @@
 impl Watcher {
     fn serve(&self) {
         let mut version = 0;
-        let mut heard = Instant::now();
+        let mut last_contact = Instant::now();
         loop {
             match self.poll(version) {
                 Some(tasks) => {
-                    heard = Instant::now();
-                    // A lower version: the worker restarted and runs nothing it ran before.
+                    last_contact = Instant::now();
+                    // A lower version means that the worker has restarted; its earlier tasks no
+                    // longer run.
                     if tasks.version < version {
-                        self.lose_all("the worker restarted");
+                        self.report_all_lost("the worker restarted");
                     }
                     version = tasks.version;
                     tasks.tasks.iter().for_each(|task| self.report(task));
                 }
                 None => {
-                    if heard.elapsed() > self.lease {
-                        self.lose_all("the worker does not answer");
+                    if last_contact.elapsed() > self.lease {
+                        self.report_all_lost("the worker does not answer");
                     }
-                    thread::sleep(RETRY);
+                    thread::sleep(RETRY_DELAY);
                 }
             }
         }
@@ -264,8 +275,8 @@
         let event = match task.state {
             State::Running => return,
             State::Checkpointed => event::Event::Checkpointed(task.attempt.clone()),
-            State::Exited => ended(&task.attempt, Some(task.exit_code), &task.reason),
-            State::Stopped => ended(&task.attempt, None, &task.reason),
+            State::Exited => task_ended(&task.attempt, Some(task.exit_code), &task.reason),
+            State::Stopped => task_ended(&task.attempt, None, &task.reason),
         };
         if task.state != State::Checkpointed {
             let mut running = self.running.lock().expect("no thread panics while it holds this");
@@ -274,11 +285,12 @@
         let _ = self.events.send(event);
     }
 
-    /// The worker can't be reached for longer than a lease: it has stopped its tasks itself.
-    fn lose_all(&self, reason: &str) {
+    /// Reports all running attempts as ended: the worker has restarted, or it has been unreachable
+    /// for longer than a lease and has therefore stopped its tasks itself.
+    fn report_all_lost(&self, reason: &str) {
         let mut running = self.running.lock().expect("no thread panics while it holds this");
         for attempt in std::mem::take(&mut *running) {
-            let _ = self.events.send(ended(&attempt, None, reason));
+            let _ = self.events.send(task_ended(&attempt, None, reason));
         }
     }
 }
