--- a/crates/sapphired/tests/fleet/mod.rs
+++ b/crates/sapphired/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few daemons and stand-ins on loopback.
+//! Starts daemons and stand-ins of the platform on loopback and sends requests to them.
 
 use std::{
     fs,
@@ -12,50 +12,53 @@
 use sapphire_standins::{minion, store, worker};
 use serde_json::Value;
 
-/// Longest wait for anything; far above what is needed, so that a busy machine changes nothing.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of every wait; far above what is needed, so that a busy machine does not fail the tests.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Two entries, agents with a worker and a minion each, and the stand-in platform.
+/// Two entries, agents with a worker and a minion each, and the stand-ins of the platform.
 pub struct Fleet {
     folder: PathBuf,
     /// Address of the stand-in store.
     pub store: String,
+    /// Address for other processes and HTTP address of each entry.
     entries: Vec<(String, String)>,
     /// Addresses of the stand-in minions.
     pub minions: Vec<String>,
     /// Addresses of the stand-in workers.
     pub workers: Vec<String>,
+    /// The two entries, then the agents.
     processes: Vec<Child>,
     http: ureq::Agent,
 }
 
-/// Port of every listener; each has a loopback address of its own.
+/// Port of every listener; each listener has a loopback address of its own.
 const PORT: u32 = 7_000;
 
-/// Addresses handed out so far.
-static HANDED_OUT: AtomicU32 = AtomicU32::new(0);
+/// Number of addresses assigned so far.
+static ASSIGNED_ADDRESSES: AtomicU32 = AtomicU32::new(0);
 
-/// An address that nothing else listens on: of this run of the tests by its process, and of one
-/// listener by a count.
+/// Returns an address that nothing else listens on. It depends on the test process and on a
+/// counter.
 ///
-/// Guards against a port that an outgoing connection has taken meanwhile: those have the address
-/// 127.0.0.1, and ports that the system picks.
+/// Guards against a port that an outgoing connection already uses: outgoing connections have the
+/// address 127.0.0.1 and a port chosen by the system.
 fn address() -> String {
-    let number = HANDED_OUT.fetch_add(1, Ordering::Relaxed) + 1;
-    assert!(number < 255, "the tests need more addresses than one run has");
-    let run = process::id();
-    let (high, low) = (run / 250 % 250 + 1, run % 250 + 1);
+    let number = ASSIGNED_ADDRESSES.fetch_add(1, Ordering::Relaxed) + 1;
+    assert!(number < 255, "one test process has 254 addresses; the tests need more");
+    let process = process::id();
+    let (high, low) = (process / 250 % 250 + 1, process % 250 + 1);
     format!("127.{high}.{low}.{number}:{PORT}")
 }
 
 impl Fleet {
-    /// Starts everything and waits until it can be used.
+    /// Starts all processes and waits until both entries know all workers, are ready and know the
+    /// planner.
     pub fn start(name: &str, agents: usize) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         fs::create_dir_all(&folder).expect("the scratch folder is writable");
         let entries = vec![(address(), address()), (address(), address())];
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(TIMEOUT))
             .http_status_as_error(false)
             .build();
         let mut fleet = Fleet {
@@ -70,23 +73,25 @@
         store::Store::serve(&fleet.store).expect("the address is free");
         (0..2).for_each(|index| fleet.start_entry(index));
         (0..agents).for_each(|index| fleet.start_agent(index));
-        let is_whole = |body: &Value| body["workers"].as_array().map(Vec::len) == Some(agents);
+        let is_complete = |body: &Value| body["workers"].as_array().map(Vec::len) == Some(agents);
         for entry in 0..2 {
-            fleet.until(entry, "/v1/workers", is_whole);
-            fleet.until(entry, "/readyz", |body| body["ready"] == true);
-            fleet.until(entry, "/v1/rules/status", |body| body["planner"].is_string());
+            fleet.wait_until(entry, "/v1/workers", is_complete);
+            fleet.wait_until(entry, "/readyz", |body| body["ready"] == true);
+            fleet.wait_until(entry, "/v1/rules/status", |body| body["planner"].is_string());
         }
         fleet
     }
 
-    fn settings(&self, name: &str, text: &str) -> PathBuf {
+    /// Writes a settings file.
+    fn write_settings(&self, name: &str, text: &str) -> PathBuf {
         let path = self.folder.join(name).with_extension("yaml");
         fs::write(&path, text).expect("the scratch folder is writable");
         path
     }
 
+    /// Starts a daemon with the given settings; its log goes to a file beside them.
     fn spawn(&mut self, role: &str, name: &str, text: &str) {
-        let settings = self.settings(name, text);
+        let settings = self.write_settings(name, text);
         let log = fs::File::create(settings.with_extension("log")).expect("writable");
         let child = Command::new(env!("CARGO_BIN_EXE_sapphired"))
             .args([role, "--settings"])
@@ -126,14 +131,15 @@
         self.spawn("agent", &format!("a{number}"), &text);
     }
 
-    /// Asks an entry and returns status and JSON (a string for a body that is none).
-    pub fn ask(&self, entry: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
+    /// Sends a request to an entry and returns the status and the JSON body; a body that is not
+    /// JSON is returned as a string. Status 0 if there was no answer.
+    pub fn request(&self, entry: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
         let url = format!("http://{}{path}", self.entries[entry].1);
-        self.ask_at(&url, method, body).unwrap_or((0, Value::Null))
+        self.request_url(&url, method, body).unwrap_or((0, Value::Null))
     }
 
-    /// Asks any address.
-    pub fn ask_at(&self, url: &str, method: &str, body: &str) -> Option<(u16, Value)> {
+    /// Sends a request to any URL; returns none if there was no answer.
+    pub fn request_url(&self, url: &str, method: &str, body: &str) -> Option<(u16, Value)> {
         let request = ureq::http::Request::builder()
             .method(method)
             .uri(url)
@@ -150,35 +156,36 @@
         Some((response.status().as_u16(), value))
     }
 
-    /// Asks again until the answer is as wanted.
-    pub fn until(&self, entry: usize, path: &str, is_wanted: impl Fn(&Value) -> bool) -> Value {
-        let until = Instant::now() + PATIENCE;
+    /// Repeats a request until the body meets the condition, and returns that body.
+    pub fn wait_until(&self, entry: usize, path: &str, is_met: impl Fn(&Value) -> bool) -> Value {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let (_, body) = self.ask(entry, "GET", path, "");
-            if is_wanted(&body) {
+            let (_, body) = self.request(entry, "GET", path, "");
+            if is_met(&body) {
                 return body;
             }
-            assert!(Instant::now() < until, "{path} stays {body}");
+            assert!(Instant::now() < deadline, "{path} still answers {body} after {TIMEOUT:?}");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Index of the entry that plans.
+    /// Index of the entry that plans, 0 or 1.
     pub fn planner(&self) -> usize {
-        let status = self.until(0, "/v1/rules/status", |body| body["planner"].is_string());
+        let status = self.wait_until(0, "/v1/rules/status", |body| body["planner"].is_string());
         usize::from(status["planner"] == "e2")
     }
 
-    /// Sends a signal to the entry or agent (after the two entries) with this index.
+    /// Sends a signal to the process with this index: 0 and 1 are the entries, the agents follow.
     pub fn signal(&self, index: usize, signal: &str) {
         let id = self.processes[index].id().to_string();
-        let status = Command::new("kill").args([signal, &id]).status().expect("kill is there");
+        let status =
+            Command::new("kill").args([signal, &id]).status().expect("the command kill exists");
         assert!(status.success());
     }
 
-    /// Waits until a process has ended and returns whether it ended well.
-    pub fn wait(&mut self, index: usize) -> bool {
-        self.processes[index].wait().expect("it was started here").success()
+    /// Waits until a process has exited and returns whether its exit code was 0.
+    pub fn wait_for_exit(&mut self, index: usize) -> bool {
+        self.processes[index].wait().expect("the process is a child of the test").success()
     }
 }
 
--- a/crates/sapphired/tests/sapphired.rs
+++ b/crates/sapphired/tests/sapphired.rs
@@ -1,5 +1,5 @@
-//! Real processes: killed, frozen, drained. Verdicts wait for what must come, and never for a
-//! time to pass.
+//! Tests with real processes, which are killed, paused and drained. They wait for the expected
+//! state and never for a fixed time.
 
 mod fleet;
 mod platform;
--- a/scripts/bench-fleet.sh
+++ b/scripts/bench-fleet.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Cost of control against the number of agents: one entry, N agents with a worker each, idle; then
-# 100 jobs one after the other. Prints processor time, memory, bytes and calls to the store.
+# Measures the control overhead for growing numbers of agents: one entry and N agents with a worker
+# each, first idle, then with 100 jobs one after the other. Prints processor time, memory, bytes on
+# loopback and calls to the store.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/bench-requests.sh
+++ b/scripts/bench-requests.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Service requests through one entry and one agent against the same client straight to the
-# stand-in minion. Prints latency, throughput and their ratio, then the agent's idle cost.
+# Compares service requests through one entry and one agent with requests that the same client sends
+# directly to the stand-in minion. Prints the idle cost of agent and entry, then latency, throughput
+# and their ratio, then memory and threads under load.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The main job: a stand-in platform, two entries and the agents of two racks in two zones on
-# loopback. Applies Atlântica's rules, runs a 16-accelerator gang job and service requests,
-# kills one entry on the way, and ends by itself. Exits non-zero when an answer is not the
-# expected one.
+# End-to-end demonstration on loopback: a stand-in platform, two entries, and the agents of two racks
+# in two zones. Applies Atlântica's rules, runs a gang job of 16 accelerators and service requests,
+# kills one entry meanwhile, and exits. The exit code is not zero if an answer is not the expected
+# one.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -57,15 +57,15 @@
 ask --within 20 --holds '"w6"' http://127.0.0.1:17031/v1/workers >/dev/null
 ask --within 20 --holds '"planner":"e' http://127.0.0.1:17031/v1/rules/status
 
-say "rules: check, apply, wait until in force everywhere"
+say "rules: check, apply, wait until they are in force on all processes"
 ctl rules check examples/atlantica/rules.txt
 ctl rules apply examples/atlantica/rules.txt --expect-revision 0 --author demo --wait
 ctl rules status
 
-say "a second operator with the old revision is told what it lost to"
+say "a change by a second operator that is based on an outdated revision is rejected"
 if ctl rules apply examples/pastizal/rules.txt --expect-revision 0 --author late --allow-short \
     >"$logs/late.out" 2>&1; then
-    echo "demo: the late change was accepted"
+    echo "demo: the change based on an outdated revision was accepted"
     exit 1
 fi
 grep -q 'revision 1 is in force' "$logs/late.out"
@@ -82,7 +82,7 @@
 say "a job that can never run is refused"
 if ctl job submit --organisation archive --accelerators 16 --command run; then exit 1; fi
 
-say "a long job; the entry that plans it is killed while it runs"
+say "a long job, during which the entry that plans is killed"
 ctl --json job submit --organisation candidates --accelerators 8 --tasks 2 --adjacency rack \
     --command 'sleep 6000ms' --key chapter-9 >"$logs/job.json"
 ask --within 10 --holds '"state":"running"' \
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs cmake, with which nng's C part is built, if it is absent.
+# Installs cmake if it is missing; the C library of nng is built with it.
 set -euo pipefail
 command -v cmake >/dev/null && exit 0
 sudo=""
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Format, lints, docs and all tests, the generated code's freshness among them. Tests that
-# KNOWN-RED.txt lists are passed over, by their whole names, and printed.
+# Checks formatting, lints and docs and runs all tests, including the check that generated code is up
+# to date. Tests listed in KNOWN-RED.txt are skipped by their whole names and printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export INSTA_UPDATE=no CI=true
