--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -108,16 +108,16 @@
 
     fn request(&mut self, cx: CX![], caller: CallerId, listener: ListenerId, request: &Request) {
         if listener == self.listeners.minion {
-            let response = match platform::minion::word(request) {
-                platform::minion::Word::Beat(beat) => {
+            let response = match platform::minion::notification(request) {
+                platform::minion::Notification::Heartbeat(beat) => {
                     self.told(cx, Told::Heartbeat(beat));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
-                platform::minion::Word::Leaves(id) => {
+                platform::minion::Notification::Deregistered(id) => {
                     self.told(cx, Told::Deregistered(id));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
-                platform::minion::Word::Unreadable(reason) => {
+                platform::minion::Notification::Malformed(reason) => {
                     self.levels.info("agent", &format!("a minion's call is refused: {reason}"));
                     Response::new(400, "{}")
                 }
