--- a/crates/store/src/call.rs
+++ b/crates/store/src/call.rs
@@ -1,15 +1,15 @@
-//! What the key-value service is asked, and what it answers.
+//! Calls to the key-value service and its replies.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 
-/// Revision of a key; 0 for a key that is not there.
+/// Revision of a key; 0 for a key that does not exist.
 pub type Revision = u64;
 /// Identifier of a lease of the service.
 pub type Lease = u64;
 
-/// One call.
+/// Call to the key-value service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
     /// Reads a key.
@@ -17,145 +17,146 @@
         /// Key.
         key: String,
     },
-    /// Writes a key if it still has the expected revision.
+    /// Writes a key if its revision is still the expected one.
     Put {
         /// Key.
         key: String,
-        /// Revision it must have; 0 when it must not be there.
+        /// Revision that the key must have; 0 if the key must not exist.
         expected: Revision,
         /// New value.
         value: Bytes,
-        /// Lease with which the key goes away.
+        /// Lease with whose end the store deletes the key.
         lease: Option<Lease>,
     },
     /// Waits until a key has a revision above the given one.
     Watch {
         /// Key.
         key: String,
-        /// Revision known.
+        /// Revision that the caller already knows.
         above: Revision,
     },
-    /// Reads the keys that begin with a prefix, a page at a time.
+    /// Reads one page of the keys that begin with a prefix.
     Scan {
         /// Prefix.
         prefix: String,
-        /// Last key of the page before; empty for the first page.
+        /// Last key of the previous page; empty for the first page.
         after: String,
-        /// The answer may be seconds old.
+        /// Whether the reply may lag behind the store by seconds.
         may_be_stale: bool,
     },
-    /// Waits until a key that begins with a prefix changes after a revision.
+    /// Waits until a key that begins with a prefix is changed after a given revision.
     WatchPrefix {
         /// Prefix.
         prefix: String,
-        /// Revision from which all changes are wanted.
+        /// Revision after which all changes are to be returned.
         after: Revision,
-        /// Longest wait.
+        /// Longest time that the store waits for a change.
         wait: Duration,
     },
-    /// Writes and removes keys all together, or nothing.
+    /// Writes and removes keys in one transaction.
     Commit {
-        /// Revisions that keys must have.
+        /// Revisions that keys must have for the transaction to be applied.
         conditions: Vec<Condition>,
         /// Keys to write.
         puts: Vec<Put>,
         /// Keys to remove.
         removes: Vec<String>,
     },
-    /// Asks for a lease.
+    /// Requests a lease.
     Grant {
-        /// How long it lasts without being kept alive.
+        /// Time after which the lease expires unless it is kept alive.
         ttl: Duration,
     },
-    /// Keeps a lease alive.
+    /// Extends a lease by its time to live (keep-alive).
     Keep {
         /// Lease.
         lease: Lease,
     },
-    /// Gives a lease back; its keys go away.
+    /// Ends a lease; the store deletes its keys.
     Revoke {
         /// Lease.
         lease: Lease,
     },
 }
 
-/// Revision that a key must have.
+/// Condition of a transaction: the revision that a key must have.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
     /// Key.
     pub key: String,
-    /// Revision; 0 when the key must not be there.
+    /// Required revision; 0 if the key must not exist.
     pub revision: Revision,
 }
 
-/// A key to write.
+/// A key that a transaction writes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Put {
     /// Key.
     pub key: String,
     /// Value.
     pub value: Bytes,
-    /// Lease with which the key goes away.
+    /// Lease with whose end the store deletes the key.
     pub lease: Option<Lease>,
 }
 
-/// A key as it stands, or as a change left it.
+/// Current state of a key, or its state after one change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
     /// Key.
     pub key: String,
-    /// Value; none when the key is not there.
+    /// Value; none if the key does not exist.
     pub value: Option<Bytes>,
-    /// Revision of its last change; 0 when it is not there.
+    /// Revision of its last change; 0 if the key does not exist.
     pub revision: Revision,
 }
 
-/// A key's value and revision.
+/// Value and revision of one key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Value {
-    /// Revision; 0 when the key is not there.
+    /// Revision; 0 if the key does not exist.
     pub revision: Revision,
-    /// Value; empty when the key is not there.
+    /// Value; empty if the key does not exist.
     pub bytes: Bytes,
 }
 
-/// One answer.
+/// Reply to a [`Call`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The key as it stands; for a watch that timed out, unchanged.
+    /// Current state of the key; unchanged if a watch has timed out.
     Value(Value),
-    /// The key was written and has this revision.
+    /// The key was written and now has this revision.
     Written(Revision),
-    /// The key was not written; it stands like this.
+    /// The key was not written, since its revision is another; its current state.
     Conflict(Value),
     /// A page of keys.
     Items {
-        /// Keys in order.
+        /// Keys in ascending order.
         items: Vec<Item>,
-        /// There are more after the last one.
+        /// Whether there are further keys after the last one.
         has_more: bool,
-        /// Revision of the store.
+        /// Revision of the store at the time of the reply.
         revision: Revision,
     },
-    /// Changes in order; none when the wait was over first.
+    /// Changes after the requested revision.
     Changes {
-        /// The changes.
+        /// Changes in order; empty if none occurred during the wait.
         items: Vec<Item>,
-        /// Revision from which to go on.
+        /// Revision from which the next watch continues.
         revision: Revision,
     },
-    /// The changes asked for are not kept any more.
+    /// The store no longer keeps the requested changes: the keys must be read anew.
     HistoryGone,
-    /// Everything was written, with this revision.
+    /// The transaction was applied, with this revision.
     Committed(Revision),
-    /// Nothing was written; the keys of the conditions stand like this.
+    /// The transaction was not applied, since a condition failed; current state of the keys named
+    /// in the conditions.
     Refused(Vec<Item>),
-    /// The lease was granted, kept or given back.
+    /// The lease was granted, kept alive or revoked.
     Leased(Lease),
-    /// There is no such lease any more.
+    /// The lease has expired or does not exist.
     Lapsed,
-    /// No answer: the call may or may not have taken effect, or may do so later.
+    /// No valid answer: the call may have taken effect, or may still do so later. Carries the reason.
     Unavailable(String),
-    /// The call has certainly not taken effect.
+    /// The call has certainly not taken effect. Carries the reason.
     NotDone(String),
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,14 +1,14 @@
-//! The key-value service over HTTP/1.1.
+//! HTTP/1.1 client of the key-value service.
 //!
 //! | call | request |
 //! |---|---|
 //! | get | `GET /kv/KEY` |
-//! | watch | `GET /kv/KEY?above=REVISION`, answered when there is one or after a while |
+//! | watch | `GET /kv/KEY?above=REVISION`, answered at a later revision or when the wait ends |
 //! | put | `PUT /kv/KEY` with `If-Match: REVISION` and, for a lease, `X-Lease` |
 //! | grant, keep, revoke | `POST /leases?ttl_ms=N`, `PUT /leases/ID`, `DELETE /leases/ID` |
 //!
-//! Every answer about a key carries its revision in `X-Revision`; 409 is a conflict and carries
-//! the value as it stands; 404 on a lease says that it has lapsed.
+//! Every answer about a key carries its revision in `X-Revision`. Status 409 is a conflict; its
+//! body is the current value. Status 404 on a lease means that the lease has expired.
 
 use std::time::Duration;
 
@@ -16,19 +16,19 @@
 
 use crate::call::{Call, Reply, Revision, Value};
 
-/// Longest wait for an answer to anything but a watch.
+/// Timeout of every call except a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for an answer to a watch; above what the service holds one for.
+/// Timeout of a watch; longer than the service keeps one open.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Blocking client; use one a thread.
+/// Blocking client; each thread uses its own.
 pub struct Client {
     base: String,
     calls: ureq::Agent,
     watches: ureq::Agent,
 }
 
-fn agent(timeout: Duration) -> ureq::Agent {
+fn agent_with_timeout(timeout: Duration) -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
         .http_status_as_error(false)
@@ -37,16 +37,16 @@
 }
 
 impl Client {
-    /// A client of the service at an address, ip:port.
+    /// Creates a client of the service at an address, ip:port.
     pub fn new(address: &str) -> Self {
         Client {
             base: format!("http://{address}"),
-            calls: agent(CALL_TIMEOUT),
-            watches: agent(WATCH_TIMEOUT),
+            calls: agent_with_timeout(CALL_TIMEOUT),
+            watches: agent_with_timeout(WATCH_TIMEOUT),
         }
     }
 
-    /// Makes one call and waits for its answer.
+    /// Makes one call and waits for the reply.
     pub fn call(&self, call: &Call) -> Reply {
         let answer = self.send(call);
         answer.unwrap_or_else(|error| Reply::Unavailable(error.to_string()))
@@ -77,7 +77,9 @@
                 Ok(if is_written { Reply::Written(value.revision) } else { Reply::Conflict(value) })
             }
             Call::Scan { .. } | Call::WatchPrefix { .. } | Call::Commit { .. } => {
-                Ok(Reply::NotDone("this service has no calls on several keys".to_owned()))
+                Ok(Reply::NotDone(
+                    "this key-value service supports only calls on a single key".to_owned(),
+                ))
             }
             Call::Grant { ttl } => {
                 let url = format!("{base}/leases?ttl_ms={}", ttl.as_millis());
@@ -95,7 +97,8 @@
 
 type Response = ureq::http::Response<ureq::Body>;
 
-/// Reads a value; an answer without a revision (an error page, an answer cut short) is none.
+/// Reads a value. An answer without a revision, such as an error page or a truncated answer, is an
+/// error.
 fn read_value(mut response: Response) -> Result<Value, ureq::Error> {
     let status = response.status().as_u16();
     let revision = response.headers().get("X-Revision");
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,6 +1,6 @@
-//! A key that one process at a time holds under a lease.
+//! Mutual exclusion by a key that one process at a time holds under a lease.
 //!
-//! The revision with which the key was created is the holder's term: it grows with each holder.
+//! The revision at which the key was created is the holder's term; each new holder has a higher one.
 
 use std::time::Duration;
 
@@ -8,64 +8,65 @@
 
 use crate::call::{self, Call, Reply, Revision};
 
-/// Keep-alives within one lease.
-const KEEPS_PER_LEASE: u32 = 3;
+/// Keep-alives sent within the time to live of a lease.
+const KEEP_ALIVES_PER_LEASE: u32 = 3;
 
-/// Where the holder-to-be stands.
+/// Progress of a process towards holding the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Not held; may ask for a lease at `at`.
-    Idle { at: Duration },
-    /// Waiting for a lease, asked for at `since`.
-    Granting { since: Duration },
-    /// Waiting for the key to be written.
-    Writing { lease: call::Lease, since: Duration },
-    /// Reading the key back after a write without an answer.
-    Reading { lease: call::Lease, since: Duration },
-    /// Held.
-    Held { lease: call::Lease, term: Revision, until: Duration, keep_at: Duration },
+    /// Not held; a lease may be requested from `retry_at` on.
+    Idle { retry_at: Duration },
+    /// Waiting for the lease requested at `requested_at`.
+    Granting { requested_at: Duration },
+    /// Waiting for the key to be written under the lease.
+    Writing { lease: call::Lease, requested_at: Duration },
+    /// Reading the key back, since the write got no answer.
+    Reading { lease: call::Lease, requested_at: Duration },
+    /// Held under the lease until `expires_at` by this process's clock.
+    Held { lease: call::Lease, term: Revision, expires_at: Duration, keep_alive_at: Duration },
 }
 
-/// What changed.
+/// Effect of a reply on the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing to act on.
+    /// Nothing that the caller must act on.
     Same,
-    /// The key is held from now on, with this term.
+    /// This process now holds the key, with this term.
     Taken(Revision),
-    /// The lease has lapsed at the store; another process may hold the key.
+    /// The lease has expired at the store; another process may hold the key.
     Lapsed,
 }
 
-/// One process's side of the lease.
+/// State machine by which one process acquires and keeps the key.
 #[derive(Clone, Debug)]
 pub struct Holder {
     key: String,
     value: Bytes,
     ttl: Duration,
     phase: Phase,
-    is_waiting: bool,
+    has_outstanding_call: bool,
 }
 
 impl Holder {
-    /// Not held; `value` must be unique to this process's life.
+    /// Creates the state machine of a process that does not hold the key. `value` must be unique to
+    /// this process and differ after a restart: it identifies the process's own writes.
     pub fn new(key: &str, value: Bytes, ttl: Duration) -> Self {
-        let phase = Phase::Idle { at: Duration::ZERO };
-        Holder { key: key.to_owned(), value, ttl, phase, is_waiting: false }
+        let phase = Phase::Idle { retry_at: Duration::ZERO };
+        Holder { key: key.to_owned(), value, ttl, phase, has_outstanding_call: false }
     }
 
-    /// Term while the lease is held by this process's own clock.
+    /// Term, as long as the lease has not expired by this process's own clock.
     ///
-    /// Guards against a holder that was paused past its lease: the lease counts from when the
-    /// keep-alive was sent, so it has lapsed here no later than at the store.
+    /// Guards against a holder that was paused for longer than its lease: the lease is counted from
+    /// the time at which the keep-alive was sent, so it expires here no later than at the store.
     pub fn term(&self, now: Duration) -> Option<Revision> {
         match self.phase {
-            Phase::Held { term, until, .. } if now < until => Some(term),
+            Phase::Held { term, expires_at, .. } if now < expires_at => Some(term),
             _ => None,
         }
     }
 
-    /// Term last held, whether or not the lease is known to stand.
+    /// Term of the key held, also if the lease may have expired.
     pub fn last_term(&self) -> Option<Revision> {
         match self.phase {
             Phase::Held { term, .. } => Some(term),
@@ -73,15 +74,15 @@
         }
     }
 
-    /// Next call, if one is due. `may_take` is false while another process is known to hold
-    /// the key, so that few processes ask for it in vain.
-    pub fn poll(&mut self, now: Duration, may_take: bool) -> Option<Call> {
-        if self.is_waiting {
+    /// Returns the next call, if one is due. `may_acquire` is false while another process is known
+    /// to hold the key, so that few processes request leases in vain.
+    pub fn poll(&mut self, now: Duration, may_acquire: bool) -> Option<Call> {
+        if self.has_outstanding_call {
             return None;
         }
         let call = match self.phase {
-            Phase::Idle { at } if may_take && now >= at => {
-                self.phase = Phase::Granting { since: now };
+            Phase::Idle { retry_at } if may_acquire && now >= retry_at => {
+                self.phase = Phase::Granting { requested_at: now };
                 Call::Grant { ttl: self.ttl }
             }
             Phase::Writing { lease, .. } => Call::Put {
@@ -91,39 +92,40 @@
                 lease: Some(lease),
             },
             Phase::Reading { .. } => Call::Get { key: self.key.clone() },
-            Phase::Held { lease, term, until, keep_at } if now >= keep_at => {
-                let keep_at = now + self.ttl / KEEPS_PER_LEASE;
-                self.phase = Phase::Held { lease, term, until, keep_at };
+            Phase::Held { lease, term, expires_at, keep_alive_at } if now >= keep_alive_at => {
+                let keep_alive_at = now + self.ttl / KEEP_ALIVES_PER_LEASE;
+                self.phase = Phase::Held { lease, term, expires_at, keep_alive_at };
                 Call::Keep { lease }
             }
             _ => return None,
         };
-        self.is_waiting = true;
+        self.has_outstanding_call = true;
         Some(call)
     }
 
-    /// Takes the reply to the call under way, which was sent at `sent`.
+    /// Handles the reply to the outstanding call, which was sent at `sent`.
     pub fn reply(&mut self, now: Duration, sent: Duration, reply: Reply) -> Outcome {
-        self.is_waiting = false;
-        let idle = Phase::Idle { at: now + self.ttl / KEEPS_PER_LEASE };
+        self.has_outstanding_call = false;
+        let idle = Phase::Idle { retry_at: now + self.ttl / KEEP_ALIVES_PER_LEASE };
         match (self.phase, reply) {
-            (Phase::Granting { since }, Reply::Leased(lease)) => {
-                self.phase = Phase::Writing { lease, since };
+            (Phase::Granting { requested_at }, Reply::Leased(lease)) => {
+                self.phase = Phase::Writing { lease, requested_at };
                 Outcome::Same
             }
-            (Phase::Writing { lease, since }, Reply::Written(term)) => {
-                self.take(lease, since, term)
+            (Phase::Writing { lease, requested_at }, Reply::Written(term)) => {
+                self.acquire(lease, requested_at, term)
             }
-            (Phase::Writing { lease, since }, Reply::Unavailable(_)) => {
-                self.phase = Phase::Reading { lease, since };
+            (Phase::Writing { lease, requested_at }, Reply::Unavailable(_)) => {
+                self.phase = Phase::Reading { lease, requested_at };
                 Outcome::Same
             }
             (
-                Phase::Writing { lease, since } | Phase::Reading { lease, since },
+                Phase::Writing { lease, requested_at } | Phase::Reading { lease, requested_at },
                 Reply::Conflict(value) | Reply::Value(value),
-            ) if value.bytes == self.value => self.take(lease, since, value.revision),
-            (Phase::Held { lease, term, keep_at, .. }, Reply::Leased(_)) => {
-                self.phase = Phase::Held { lease, term, until: sent + self.ttl, keep_at };
+            ) if value.bytes == self.value => self.acquire(lease, requested_at, value.revision),
+            (Phase::Held { lease, term, keep_alive_at, .. }, Reply::Leased(_)) => {
+                self.phase =
+                    Phase::Held { lease, term, expires_at: sent + self.ttl, keep_alive_at };
                 Outcome::Same
             }
             (Phase::Held { .. }, Reply::Lapsed) => {
@@ -138,24 +140,28 @@
         }
     }
 
-    fn take(&mut self, lease: call::Lease, since: Duration, term: Revision) -> Outcome {
-        let until = since + self.ttl;
-        self.phase =
-            Phase::Held { lease, term, until, keep_at: since + self.ttl / KEEPS_PER_LEASE };
+    fn acquire(&mut self, lease: call::Lease, requested_at: Duration, term: Revision) -> Outcome {
+        let expires_at = requested_at + self.ttl;
+        self.phase = Phase::Held {
+            lease,
+            term,
+            expires_at,
+            keep_alive_at: requested_at + self.ttl / KEEP_ALIVES_PER_LEASE,
+        };
         Outcome::Taken(term)
     }
 
-    /// Whether the key is held as far as is known, but its lease has run out by this process's
-    /// own clock.
+    /// Whether the lease has expired by this process's own clock, while the store has not reported
+    /// that it has expired.
     pub fn is_stale(&self, now: Duration) -> bool {
-        matches!(self.phase, Phase::Held { until, .. } if now >= until)
+        matches!(self.phase, Phase::Held { expires_at, .. } if now >= expires_at)
     }
 
-    /// Gives the lease up, for a graceful shutdown; returns the call that frees the key.
+    /// Gives up the key, for a graceful shutdown; returns the call that revokes its lease.
     pub fn release(&mut self) -> Option<Call> {
         let Phase::Held { lease, .. } = self.phase else { return None };
-        self.phase = Phase::Idle { at: Duration::MAX };
-        self.is_waiting = false;
+        self.phase = Phase::Idle { retry_at: Duration::MAX };
+        self.has_outstanding_call = false;
         Some(Call::Revoke { lease })
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's key-value service.
 //!
-//! [`writer`] and [`lease`] are pure state machines; [`http`] is the one module that knows the
-//! service's protocol.
+//! [`writer`] and [`lease`] are state machines without input and output of their own; [`http`]
+//! implements the protocol of one such service.
 
 pub mod call;
 pub mod http;
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,7 +1,8 @@
-//! One key with one writer: batches changes into few writes and settles lost answers.
+//! Writer of a key that only one process writes: batches changes and resolves writes without an
+//! answer.
 //!
-//! Changes are numbered by the caller. At most one write is under way; it carries every change
-//! up to a number, so calls grow slower than changes.
+//! The caller numbers the changes. At most one write is outstanding and carries all changes up to a
+//! number, so that there are fewer calls than changes under load.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,128 +10,128 @@
 
 use crate::call::{Call, Reply, Revision, Value};
 
-/// Number of a change; a write covers all up to its own.
+/// Number of a change; a write includes all changes up to its number.
 pub type Change = u64;
 
-/// Write identifiers remembered, to recognise an own write whose answer was lost.
-const WRITES_KEPT: usize = 32;
-/// Wait after the first failed write.
-const BACKOFF_START: Duration = Duration::from_millis(100);
-/// Longest wait between failed writes.
-const BACKOFF_MAX: Duration = Duration::from_secs(2);
+/// Number of identifiers remembered to recognise own writes whose answers were lost.
+const MAX_REMEMBERED_WRITES: usize = 32;
+/// Delay before the first retry of a failed write.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest delay between two tries.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What a reply means.
+/// Effect of a reply on the key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// All changes up to this number are kept.
+    /// All changes up to this number are stored.
     Written(Change),
-    /// The store did not answer; the write is repeated.
+    /// The write failed or got no answer and will be retried.
     Retry,
-    /// Another process wrote the key; it stands like this.
+    /// Another process has written the key; its current state.
     Lost(Value),
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlight {
     change: Change,
 }
 
-/// Writer of one key.
+/// State machine that writes one key.
 #[derive(Clone, Debug)]
 pub struct Writer {
     key: String,
-    /// Prefix that makes write identifiers unique to this process's life.
+    /// Prefix of write identifiers, unique to this process and different after a restart.
     prefix: String,
     revision: Revision,
-    flight: Option<Flight>,
+    in_flight: Option<InFlight>,
     sent: VecDeque<(String, Change)>,
     written: Change,
-    count: u64,
+    write_count: u64,
     failures: u32,
     retry_at: Duration,
 }
 
 impl Writer {
-    /// Starts from a key's revision as read.
+    /// Creates a writer from the revision that the key had when it was read.
     pub fn new(key: &str, prefix: &str, revision: Revision) -> Self {
         Writer {
             key: key.to_owned(),
             prefix: prefix.to_owned(),
             revision,
-            flight: None,
+            in_flight: None,
             sent: VecDeque::new(),
             written: 0,
-            count: 0,
+            write_count: 0,
             failures: 0,
             retry_at: Duration::ZERO,
         }
     }
 
-    /// Number up to which all changes are kept.
+    /// Number up to which all changes are stored.
     pub fn written(&self) -> Change {
         self.written
     }
 
-    /// Whether the last write got no answer.
+    /// Whether the last write failed or got no answer.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns the next write, if there is something to write and none is under way. `encode`
-    /// is given the write's identifier, which the value must carry.
+    /// Returns the next write, if there are unwritten changes and no write is outstanding. `encode`
+    /// builds the value from the identifier of the write, which the value must contain.
     pub fn poll(
         &mut self,
         now: Duration,
         change: Change,
         encode: impl FnOnce(&str) -> Bytes,
     ) -> Option<Call> {
-        if self.flight.is_some() || change <= self.written || now < self.retry_at {
+        if self.in_flight.is_some() || change <= self.written || now < self.retry_at {
             return None;
         }
-        self.count += 1;
-        let write = format!("{}-{}", self.prefix, self.count);
+        self.write_count += 1;
+        let write = format!("{}-{}", self.prefix, self.write_count);
         let value = encode(&write);
         self.sent.push_back((write, change));
-        if self.sent.len() > WRITES_KEPT {
+        if self.sent.len() > MAX_REMEMBERED_WRITES {
             self.sent.pop_front();
         }
-        self.flight = Some(Flight { change });
+        self.in_flight = Some(InFlight { change });
         Some(Call::Put { key: self.key.clone(), expected: self.revision, value, lease: None })
     }
 
-    /// Takes the reply to the write under way. `write_of` reads the identifier that a value
-    /// carries.
+    /// Handles the reply to the outstanding write. `write_of` extracts the write identifier from a
+    /// value.
     ///
-    /// Guards against a write that took effect while its answer was lost: the repeated write
-    /// then meets a conflict, and the value there carries the identifier of the lost one. It is
-    /// taken as written; nothing is written twice and the key is not thought lost.
+    /// Guards against a write that took effect while its answer was lost: the retry then meets a
+    /// conflict, and the stored value contains the identifier of the first write. That write counts
+    /// as successful, so nothing is written twice and the key is not taken for another process's.
     pub fn reply(
         &mut self,
         now: Duration,
         reply: Reply,
         write_of: impl FnOnce(&Value) -> String,
     ) -> Outcome {
-        let flight = self.flight.take();
-        match (reply, flight) {
-            (Reply::Written(revision), Some(flight)) => self.landed(revision, flight.change),
+        let in_flight = self.in_flight.take();
+        match (reply, in_flight) {
+            (Reply::Written(revision), Some(write)) => self.record_written(revision, write.change),
             (Reply::Conflict(value), _) => {
                 let write = write_of(&value);
                 let own = self.sent.iter().find(|(sent, _)| *sent == write);
                 match own.map(|(_, change)| *change) {
-                    Some(change) => self.landed(value.revision, change),
+                    Some(change) => self.record_written(value.revision, change),
                     None => Outcome::Lost(value),
                 }
             }
             _ => {
                 self.failures += 1;
-                let backoff = BACKOFF_START * 2_u32.saturating_pow(self.failures.min(8) - 1);
-                self.retry_at = now + backoff.min(BACKOFF_MAX);
+                let backoff = MIN_BACKOFF * 2_u32.saturating_pow(self.failures.min(8) - 1);
+                self.retry_at = now + backoff.min(MAX_BACKOFF);
                 Outcome::Retry
             }
         }
     }
 
-    fn landed(&mut self, revision: Revision, change: Change) -> Outcome {
+    fn record_written(&mut self, revision: Revision, change: Change) -> Outcome {
         self.revision = revision;
         self.written = self.written.max(change);
         self.failures = 0;
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! Lost answers, conflicts and lapsed leases.
+//! Tests of the writer and the lease: lost answers, conflicts and expired leases.
 
 use std::time::Duration;
 
@@ -19,29 +19,30 @@
     Bytes::copy_from_slice(write.as_bytes())
 }
 
-fn lost() -> Reply {
+fn no_answer() -> Reply {
     Reply::Unavailable("no answer".into())
 }
 
-/// An operator's job is accepted by the store, but the answer gets lost. The writer repeats the
-/// write and meets a conflict. The value there is its own: the job counts as kept, once.
+/// Guards against a job that is stored twice or taken for lost: the store accepts the write, but its
+/// answer is lost. The writer retries and meets a conflict with its own value, so the change counts
+/// as stored, once.
 #[test]
-fn a_write_whose_answer_is_lost_is_settled_by_its_identifier() {
+fn a_write_whose_answer_is_lost_is_resolved_by_its_identifier() {
     let mut writer = writer::Writer::new("cell", "e1-7", 4);
     let put = writer.poll(SECOND, 1, encode);
     assert_matches!(&put, Some(Call::Put { expected: 4, value, .. }) if value == "e1-7-1");
-    assert_eq!(writer.reply(SECOND, lost(), write_of), writer::Outcome::Retry);
-    assert_eq!(writer.poll(SECOND, 1, encode), None, "waits before it repeats");
+    assert_eq!(writer.reply(SECOND, no_answer(), write_of), writer::Outcome::Retry);
+    assert_eq!(writer.poll(SECOND, 1, encode), None, "waits before the retry");
     assert_matches!(writer.poll(SECOND * 2, 2, encode), Some(Call::Put { expected: 4, .. }));
     let own = Reply::Conflict(Value { revision: 5, bytes: Bytes::from_static(b"e1-7-1") });
     assert_eq!(writer.reply(SECOND * 2, own, write_of), writer::Outcome::Written(1));
     assert_matches!(writer.poll(SECOND * 2, 2, encode), Some(Call::Put { expected: 5, .. }));
 }
 
-/// Two planners write the same cell. The one whose lease lapsed meets a value that is not its
-/// own and must stop, rather than write over it.
+/// Guards against two planners that overwrite each other's cell: the one whose lease has expired
+/// meets a value that is not its own and must stop instead of overwriting it.
 #[test]
-fn a_conflict_with_another_writer_is_lost() {
+fn a_conflict_with_another_writer_loses_the_key() {
     let mut writer = writer::Writer::new("cell", "e1-7", 4);
     writer.poll(SECOND, 1, encode);
     let value = Value { revision: 6, bytes: Bytes::from_static(b"e2-9-1") };
@@ -61,7 +62,7 @@
     assert_eq!(writer.poll(SECOND, 9, encode), None);
 }
 
-fn held() -> lease::Holder {
+fn holder_with_key() -> lease::Holder {
     let mut holder = lease::Holder::new("planner", Bytes::from_static(b"e1-7"), SECOND * 3);
     assert_matches!(holder.poll(SECOND, true), Some(Call::Grant { .. }));
     holder.reply(SECOND, SECOND, Reply::Leased(8));
@@ -70,11 +71,11 @@
     holder
 }
 
-/// A planner is paused past its lease and goes on. By its own clock the lease has lapsed, so it
-/// knows before it hears from the store.
+/// Guards against a planner that was paused for longer than its lease and goes on planning: the
+/// lease has expired by its own clock, before the store reports so.
 #[test]
-fn a_paused_holder_knows_that_its_lease_lapsed() {
-    let mut holder = held();
+fn a_paused_holder_knows_that_its_lease_has_expired() {
+    let mut holder = holder_with_key();
     assert_eq!(holder.term(SECOND * 3), Some(40));
     assert_eq!(holder.term(SECOND * 4), None);
     assert_matches!(holder.poll(SECOND * 4, true), Some(Call::Keep { lease: 8 }));
@@ -84,22 +85,22 @@
 
 #[test]
 fn a_lease_counts_from_when_the_keep_alive_was_sent() {
-    let mut holder = held();
+    let mut holder = holder_with_key();
     assert_matches!(holder.poll(SECOND * 3, true), Some(Call::Keep { .. }));
     holder.reply(SECOND * 5, SECOND * 3, Reply::Leased(8));
     assert_eq!(holder.term(SECOND * 5), Some(40));
     assert_eq!(holder.term(SECOND * 6), None);
 }
 
-/// The store takes the key but the answer is lost. Reading the key back shows the holder's own
-/// value: it holds the key, and does not wait for its own lease to lapse.
+/// Guards against a process that waits for its own lease to expire: the store writes the key but
+/// the answer is lost. The process reads the key back, finds its own value and so holds the key.
 #[test]
-fn a_take_whose_answer_is_lost_is_settled_by_reading() {
+fn an_acquisition_whose_answer_is_lost_is_resolved_by_reading() {
     let mut holder = lease::Holder::new("planner", Bytes::from_static(b"e1-7"), SECOND * 3);
     holder.poll(SECOND, true);
     holder.reply(SECOND, SECOND, Reply::Leased(8));
     holder.poll(SECOND, true);
-    holder.reply(SECOND, SECOND, lost());
+    holder.reply(SECOND, SECOND, no_answer());
     assert_matches!(holder.poll(SECOND, true), Some(Call::Get { .. }));
     let own = Value { revision: 41, bytes: Bytes::from_static(b"e1-7") };
     let outcome = holder.reply(SECOND, SECOND, Reply::Value(own));
