--- a/crates/net/src/call.rs
+++ b/crates/net/src/call.rs
@@ -1,21 +1,22 @@
-//! Calls to other processes, and why they have no answer.
+//! Identifiers of calls to other processes, and reasons why a call failed.
 
 use std::io;
 
-/// A call under way. Not used again after its outcome.
+/// Identifier of a call; never reused.
 pub type CallId = u64;
 
-/// Why a call has no answer.
+/// Reason why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing listens there: the call was not made.
+    /// The target refused the connection: the call was not carried out.
     Refused,
-    /// No answer in time, or no more of one that has begun: the call may have been carried out,
-    /// or may be later.
+    /// The response did not arrive in time, or stopped arriving: the call may have been carried
+    /// out, or may still be.
     Timeout,
-    /// The connection ended first: the call may have been carried out.
+    /// The connection was closed before the response was complete: the call may have been carried
+    /// out.
     Closed,
-    /// The answer is no HTTP.
+    /// The response is not valid HTTP or exceeds the size limits.
     Malformed,
 }
 
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,13 +1,13 @@
-//! Time that goes on while the machine is suspended.
+//! Clock that keeps running while the machine is suspended.
 
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the machine's start, suspensions included.
+/// Time since the machine was booted, including the time that it was suspended.
 ///
-/// Guards against acting on a lease or a belief that ran out while the machine was suspended:
-/// the plain steady clock stands still then, and the age would look young.
+/// Guards against acting on a lease or other information that expired while the machine was
+/// suspended: `CLOCK_MONOTONIC` stops during a suspension, so that ages would come out too small.
 pub fn now() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME)
         .map(Duration::from)
--- a/crates/net/src/hub.rs
+++ b/crates/net/src/hub.rs
@@ -1,4 +1,4 @@
-//! All sockets of a process on one event loop.
+//! Event loop that owns all sockets of a process.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -23,48 +23,49 @@
 
 pub use crate::call::{CallId, Failure};
 
-/// A request that waits for its answer. Not used again after the answer.
+/// Identifier of a request that waits for its response; never reused.
 pub type CallerId = u64;
-/// A listening address.
+/// Identifier of a listening socket.
 pub type ListenerId = usize;
 
-/// Events taken from the system at once.
+/// Largest number of events that one system call returns.
 const MAX_EVENTS: usize = 256;
-/// Connections to one address; further calls wait. Above the calls that one process has under
-/// way at one peer at once (a long poll, a report, some relayed calls).
-const MAX_OUTBOUND: usize = 16;
-/// Time between two reports of connections that were not taken. Without descriptors each event
-/// would bring one.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
-/// Time after which an unused connection is closed, below what servers usually keep one for.
-const IDLE: Duration = Duration::from_secs(12);
-
-/// What has happened.
+/// Largest number of connections to one address; further calls wait. Higher than the number of
+/// calls that one process has outstanding at one peer (a long poll, a report, some relayed calls).
+const MAX_CONNECTIONS_PER_TARGET: usize = 16;
+/// Shortest time between two reports of connections that could not be accepted. A process that has
+/// run out of file descriptors would otherwise report one at each event.
+const NOT_ACCEPTED_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which an unused outbound connection is closed; shorter than the idle timeout of usual
+/// servers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(12);
+
+/// Event that the owner of the hub handles.
 #[derive(Debug)]
 pub enum Event {
-    /// A caller asks something.
+    /// A caller has sent a request.
     Request {
-        /// To be named in the answer.
+        /// Caller, as [`Hub::answer`] expects it.
         caller: CallerId,
-        /// Where it came in.
+        /// Listener whose connection the request came from.
         listener: ListenerId,
         /// The request.
         request: Request,
     },
-    /// A caller left before its answer.
+    /// A caller closed its connection before it was answered.
     Left(CallerId),
-    /// A call of this process has come to its end.
+    /// A call of this process has been completed or has failed.
     Answer {
-        /// The call.
+        /// Call, as [`Hub::call`] returned it.
         call: CallId,
-        /// Its outcome.
+        /// Response, or the reason why there is none.
         result: Result<Response, Failure>,
     },
-    /// A connection was not taken; told once a second at most.
+    /// A connection could not be accepted; reported once per second at most.
     NotAccepted {
-        /// Where it came in.
+        /// Listener of the connection.
         listener: ListenerId,
-        /// What the system said.
+        /// Kind of the system's error.
         kind: io::ErrorKind,
     },
 }
@@ -75,7 +76,7 @@
     Outbound(Box<outbound::Connection>),
 }
 
-/// Connections to one address.
+/// Connections to one address, and the calls that wait for one.
 #[derive(Default)]
 struct Pool {
     idle: Vec<usize>,
@@ -94,15 +95,15 @@
     last_id: u64,
     inbound: BTreeMap<ListenerId, usize>,
     is_closing: bool,
-    /// When a connection that was not taken was last told of.
-    told_not_accepted: Option<Duration>,
+    /// Time of the last [`Event::NotAccepted`].
+    last_not_accepted: Option<Duration>,
 }
 
 impl Hub {
-    /// A loop without sockets.
+    /// Creates an event loop without sockets.
     ///
     /// # Errors
-    /// When the system gives no event queue.
+    /// If the system provides no event queue.
     pub fn new() -> io::Result<Self> {
         Ok(Hub {
             poll: Poll::new()?,
@@ -114,14 +115,14 @@
             last_id: 0,
             inbound: BTreeMap::new(),
             is_closing: false,
-            told_not_accepted: None,
+            last_not_accepted: None,
         })
     }
 
-    /// Listens at an address.
+    /// Starts to listen at an address.
     ///
     /// # Errors
-    /// When the address can't be listened on.
+    /// If the system does not allow to listen at the address.
     pub fn listen(&mut self, address: SocketAddr, limits: Limits) -> io::Result<ListenerId> {
         let mut listener = TcpListener::bind(address)?;
         let entry = self.sockets.vacant_entry();
@@ -132,8 +133,8 @@
         Ok(key)
     }
 
-    /// Makes a call. Its outcome comes as an event, at the latest after the time-out unless the
-    /// answer has begun and keeps arriving.
+    /// Starts a call. Its result is reported by [`Event::Answer`], at the latest after the timeout
+    /// unless the response has begun and keeps arriving.
     pub fn call(&mut self, target: SocketAddr, request: &Request, timeout: Duration) -> CallId {
         self.last_id += 1;
         let id = self.last_id;
@@ -147,7 +148,7 @@
         let pool = self.pools.entry(target).or_default();
         if let Some(key) = pool.idle.pop() {
             self.send(key, call);
-        } else if pool.open < MAX_OUTBOUND {
+        } else if pool.open < MAX_CONNECTIONS_PER_TARGET {
             self.connect(target, call);
         } else {
             pool.waiting.push_back(call);
@@ -180,7 +181,7 @@
         self.outbound_step(key, step);
     }
 
-    /// Answers a caller; does nothing when it has left.
+    /// Sends the response to a caller; does nothing if the caller has disconnected.
     pub fn answer(&mut self, caller: CallerId, response: &Response) {
         let Some(key) = self.callers.remove(&caller) else { return };
         let Some(Socket::Inbound(connection, _)) = self.sockets.get_mut(key) else { return };
@@ -191,46 +192,51 @@
         self.inbound_step(key, step);
     }
 
-    /// Closes each connection of a caller with its next answer, so that callers go elsewhere
-    /// without losing a request.
+    /// Makes the hub close each caller's connection after its next response, so that callers turn
+    /// to another process without losing a request.
     pub fn close_after_answers(&mut self) {
         self.is_closing = true;
     }
 
-    /// Callers that wait for an answer.
+    /// Number of callers that wait for a response.
     pub fn callers(&self) -> usize {
         self.callers.len()
     }
 
-    /// Waits for something to happen, or for a while.
+    /// Waits for events, for a deadline or until `wait` is over, and handles the sockets.
     ///
     /// # Errors
-    /// When the system's event queue fails.
+    /// If the system's event queue fails.
     pub fn poll(&mut self, wait: Duration) -> io::Result<()> {
         if !self.events.is_empty() {
             return Ok(());
         }
-        let wait = wait.min(self.until_deadline());
+        let wait = wait.min(self.time_to_next_deadline());
         match self.poll.poll(&mut self.ready, Some(wait)) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => return Ok(()),
             other => other?,
         }
-        let happened: Vec<(usize, bool, bool)> = self
+        let ready: Vec<(usize, bool, bool)> = self
             .ready
             .iter()
             .map(|event| {
-                let is_over = event.is_error() || event.is_read_closed() || event.is_write_closed();
-                (event.token().0, event.is_readable() || is_over, event.is_writable() || is_over)
+                let has_ended =
+                    event.is_error() || event.is_read_closed() || event.is_write_closed();
+                (
+                    event.token().0,
+                    event.is_readable() || has_ended,
+                    event.is_writable() || has_ended,
+                )
             })
             .collect();
-        for (key, is_readable, is_writable) in happened {
+        for (key, is_readable, is_writable) in ready {
             self.socket_ready(key, is_readable, is_writable);
         }
         self.expire();
         Ok(())
     }
 
-    /// Next event, if there is one.
+    /// Returns the next event, if there is one.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
@@ -267,19 +273,20 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    // Out of descriptors, or the caller has left: the next event tries again.
-                    self.not_accepted(key, &error);
+                    // The process is out of file descriptors, or the caller has disconnected: the
+                    // next event tries again.
+                    self.report_not_accepted(key, &error);
                     return;
                 }
             };
             if self.inbound.get(&key).is_some_and(|open| *open >= limits.connections) {
-                self.close_oldest(key);
+                self.close_stalled(key);
             }
             let entry = self.sockets.vacant_entry();
             let interest = Interest::READABLE | Interest::WRITABLE;
             let token = Token(entry.key());
             if let Err(error) = self.poll.registry().register(&mut socket, token, interest) {
-                self.not_accepted(key, &error);
+                self.report_not_accepted(key, &error);
                 continue;
             }
             let stream = Stream::new(socket);
@@ -289,20 +296,20 @@
         }
     }
 
-    fn not_accepted(&mut self, listener: ListenerId, error: &io::Error) {
+    fn report_not_accepted(&mut self, listener: ListenerId, error: &io::Error) {
         let now = clock::now();
-        if self.told_not_accepted.is_none_or(|told| now >= told + TELL_AGAIN) {
-            self.told_not_accepted = Some(now);
+        if self.last_not_accepted.is_none_or(|last| now >= last + NOT_ACCEPTED_INTERVAL) {
+            self.last_not_accepted = Some(now);
             self.events.push_back(Event::NotAccepted { listener, kind: error.kind() });
         }
     }
 
-    /// Makes room for a new connection.
+    /// Closes a connection so that a new one can be accepted.
     ///
-    /// Guards against callers that open connections and send nothing or only part of a request:
-    /// without it they keep every other caller out. The one that has stalled longest goes first;
-    /// one whose request is being served never does.
-    fn close_oldest(&mut self, listener: ListenerId) {
+    /// Guards against callers that open connections and send nothing or only part of a request, and
+    /// so block all other callers. The connection whose deadline is the earliest is closed; one
+    /// whose request is being served never is.
+    fn close_stalled(&mut self, listener: ListenerId) {
         let stalled = self.sockets.iter().filter_map(|(key, socket)| match socket {
             Socket::Inbound(connection, _) if connection.listener == listener => {
                 connection.deadline.map(|deadline| (deadline, key))
@@ -327,7 +334,7 @@
                 let listener = connection.listener;
                 self.events.push_back(Event::Request { caller: self.last_id, listener, request });
             }
-            server::Step::Left => {
+            server::Step::Disconnected => {
                 if let Some(Socket::Inbound(_, caller)) = self.sockets.get(key) {
                     self.events.push_back(Event::Left(*caller));
                 }
@@ -340,9 +347,9 @@
     fn outbound_step(&mut self, key: usize, step: outbound::Step) {
         match step {
             outbound::Step::Wait => {}
-            outbound::Step::Answered { call, response, keeps } => {
+            outbound::Step::Answered { call, response, keep_alive } => {
                 self.events.push_back(Event::Answer { call, result: Ok(response) });
-                if keeps { self.reuse(key) } else { self.close(key) }
+                if keep_alive { self.reuse(key) } else { self.close(key) }
             }
             outbound::Step::Broken { call, failure } => {
                 if let Some(call) = call {
@@ -373,11 +380,11 @@
                     *open -= 1;
                 }
             }
-            Socket::Outbound(connection) => self.closed_outbound(key, connection.target),
+            Socket::Outbound(connection) => self.remove_outbound(key, connection.target),
         }
     }
 
-    fn closed_outbound(&mut self, key: usize, target: SocketAddr) {
+    fn remove_outbound(&mut self, key: usize, target: SocketAddr) {
         let Some(pool) = self.pools.get_mut(&target) else { return };
         pool.open -= 1;
         pool.idle.retain(|idle| *idle != key);
@@ -390,7 +397,7 @@
         }
     }
 
-    fn until_deadline(&self) -> Duration {
+    fn time_to_next_deadline(&self) -> Duration {
         let now = clock::now();
         let mut next = Duration::from_secs(60);
         for (_, socket) in &self.sockets {
@@ -399,7 +406,7 @@
                 Socket::Inbound(connection, _) => connection.deadline,
                 Socket::Outbound(connection) => match &connection.call {
                     Some(call) => Some(call.deadline),
-                    None => Some(connection.idle_since + IDLE),
+                    None => Some(connection.idle_since + IDLE_TIMEOUT),
                 },
             };
             if let Some(deadline) = deadline {
@@ -414,24 +421,24 @@
         next
     }
 
-    /// Ends what has taken too long.
+    /// Closes connections and fails calls whose deadline has passed.
     fn expire(&mut self) {
         let now = clock::now();
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (key, socket) in &self.sockets {
-            let is_over = match socket {
+            let is_expired = match socket {
                 Socket::Listener { .. } => false,
                 Socket::Inbound(connection, _) => connection.deadline.is_some_and(|at| now >= at),
                 Socket::Outbound(connection) => match &connection.call {
                     Some(call) => now >= call.deadline,
-                    None => now >= connection.idle_since + IDLE,
+                    None => now >= connection.idle_since + IDLE_TIMEOUT,
                 },
             };
-            if is_over {
-                over.push(key);
+            if is_expired {
+                expired.push(key);
             }
         }
-        for key in over {
+        for key in expired {
             if let Some(Socket::Outbound(connection)) = self.sockets.get_mut(key)
                 && let Some(call) = connection.call.take()
             {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 server and client on one event loop, without a thread a connection.
+//! HTTP/1.1 server and client on one event loop, without a thread per connection.
 //!
-//! [`hub::Hub`] owns all sockets of a process. Every call has a time-out, after which only an
-//! answer that keeps arriving is waited for, and every connection a bound, so that a peer that
-//! goes silent costs one connection and never the process.
+//! [`hub::Hub`] owns all sockets of a process. Every call has a timeout, after which the hub waits
+//! only for a response that keeps arriving, and every connection has limits, so that a peer that
+//! stops responding costs one connection and never blocks the process.
 
 pub mod call;
 pub mod clock;
--- a/crates/net/src/message.rs
+++ b/crates/net/src/message.rs
@@ -1,39 +1,39 @@
-//! Requests and responses.
+//! HTTP requests and responses, and limits of a server.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 
-/// One header.
+/// Header of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
     /// Name, as sent.
     pub name: String,
-    /// Value, without surrounding blanks.
+    /// Value, without surrounding whitespace.
     pub value: String,
 }
 
-/// Value of the first header of a name, whatever its case.
+/// Returns the value of the first header with a name, ignoring case.
 pub fn find<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
     header.map(|header| header.value.as_str())
 }
 
-/// A request.
+/// HTTP request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
-    /// Method, in capitals.
+    /// Method in capitals, such as `GET`.
     pub method: String,
-    /// Path and query.
+    /// Path and query, as in the request line.
     pub target: String,
-    /// Headers without those about length and connection.
+    /// Headers, without those that the connection handles itself (such as `Content-Length`).
     pub headers: Vec<Header>,
-    /// Body; empty for none.
+    /// Body; empty if the message has none.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A request without headers.
+    /// Creates a request without headers.
     pub fn new(method: &str, target: &str, body: impl Into<Bytes>) -> Self {
         Request {
             method: method.to_owned(),
@@ -50,30 +50,30 @@
         self
     }
 
-    /// Path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Value of a header.
+    /// Returns the value of a header, ignoring the case of its name.
     pub fn header(&self, name: &str) -> Option<&str> {
         find(&self.headers, name)
     }
 }
 
-/// A response.
+/// HTTP response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Headers without those about length and connection.
+    /// Headers, without those that the connection handles itself (such as `Content-Length`).
     pub headers: Vec<Header>,
-    /// Body; empty for none.
+    /// Body; empty if the message has none.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A response without headers.
+    /// Creates a response without headers.
     pub fn new(status: u16, body: impl Into<Bytes>) -> Self {
         Response { status, headers: Vec::new(), body: body.into() }
     }
@@ -86,23 +86,25 @@
     }
 }
 
-/// Bounds of what a server takes.
+/// Limits of a listener and its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at one listener.
+    /// Open connections of the listener; for a further one the connection that has stalled longest
+    /// is closed.
     pub connections: usize,
-    /// Request line and headers, in bytes.
+    /// Size of the request line and headers, in bytes.
     pub head_bytes: usize,
-    /// Body, in bytes.
+    /// Size of the body, in bytes.
     pub body_bytes: usize,
-    /// Time for one whole request from its first byte, and for an answer of which nothing is read.
+    /// Time in which a request must arrive completely, from its first byte, and in which the caller
+    /// must begin to read the response; a caller that reads on is given longer.
     pub request_time: Duration,
-    /// Time that a connection may stay without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds for callers that are other processes of the system.
+    /// Limits for callers that are other processes of this system.
     fn default() -> Self {
         Limits {
             connections: 1_024,
--- a/crates/net/src/outbound.rs
+++ b/crates/net/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Connections that this process has opened.
+//! Connections that this process has opened to servers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,53 +13,54 @@
     transfer::Transfer,
 };
 
-/// Bounds of what is taken from a server.
-const BOUNDS: parse::Bounds = parse::Bounds { head: 16 << 10, body: 16 << 20 };
+/// Size limits of a response.
+const RESPONSE_BOUNDS: parse::Bounds = parse::Bounds { head: 16 << 10, body: 16 << 20 };
 
-/// Longest pause in the middle of an answer.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Longest time without further bytes in the middle of a response.
+const MAX_RESPONSE_GAP: Duration = Duration::from_secs(1);
 
-/// A call that waits for a connection or for its answer.
+/// Call that waits for a connection or for its response.
 pub(crate) struct Call {
     pub(crate) id: CallId,
     pub(crate) bytes: Bytes,
-    /// When it is given up.
+    /// Time at which the call times out.
     pub(crate) deadline: Duration,
-    answer: Transfer,
+    response: Transfer,
 }
 
 impl Call {
     pub(crate) fn new(id: CallId, bytes: Bytes, deadline: Duration) -> Self {
-        Call { id, bytes, deadline, answer: Transfer::new(deadline) }
+        Call { id, bytes, deadline, response: Transfer::new(deadline) }
     }
 
-    /// Notes that more of the answer has come. A long poll that was given time to wait for its
-    /// answer is not given it for a pause in the middle.
-    fn progress(&mut self, bytes: usize, now: Duration) {
-        self.deadline = self.answer.pass(bytes).min(now + LONGEST_PAUSE);
+    /// Extends the deadline after a part of the response has arrived. The timeout of a long poll is
+    /// meant for the wait until the response begins, so it does not apply to a gap in the middle.
+    fn extend_deadline(&mut self, bytes: usize, now: Duration) {
+        self.deadline = self.response.extend(bytes).min(now + MAX_RESPONSE_GAP);
     }
 }
 
-/// What a connection has come to.
+/// Result of an event on a connection.
 pub(crate) enum Step {
-    /// Nothing to do until the next event.
+    /// Nothing to do before the next event.
     Wait,
-    /// The call has been answered; the connection may be used again if it `keeps`.
-    Answered { call: CallId, response: Response, keeps: bool },
-    /// The connection is of no use any more.
+    /// The response to the call is complete; the connection can be reused if `keep_alive`.
+    Answered { call: CallId, response: Response, keep_alive: bool },
+    /// The connection has failed, and with it the outstanding call, if there is one.
     Broken { call: Option<CallId>, failure: Failure },
 }
 
-/// One connection.
+/// Connection to a server; carries one call at a time.
 pub(crate) struct Connection {
     pub(crate) stream: Stream,
     pub(crate) target: SocketAddr,
     pub(crate) call: Option<Call>,
-    /// When it became idle.
+    /// Time at which the last call was completed.
     pub(crate) idle_since: Duration,
     is_connected: bool,
-    least: usize,
-    chunks: parse::Chunks,
+    /// Least length of the response in bytes, as far as it is known.
+    min_length: usize,
+    chunked: parse::ChunkedBody,
 }
 
 impl Connection {
@@ -70,26 +71,26 @@
             call: None,
             idle_since: Duration::ZERO,
             is_connected: false,
-            least: 0,
-            chunks: parse::Chunks::default(),
+            min_length: 0,
+            chunked: parse::ChunkedBody::default(),
         }
     }
 
-    /// Takes a call.
+    /// Sends a call, or queues it until the connection is established.
     pub(crate) fn send(&mut self, call: Call) -> Step {
         self.stream.push(&call.bytes);
         self.call = Some(call);
-        self.least = 0;
-        self.chunks = parse::Chunks::default();
+        self.min_length = 0;
+        self.chunked = parse::ChunkedBody::default();
         if self.is_connected { self.write() } else { Step::Wait }
     }
 
-    /// Goes on after the socket has become writable or readable.
+    /// Continues after the socket has become writable or readable.
     pub(crate) fn ready(&mut self, is_readable: bool) -> Step {
         if !self.is_connected {
             match self.stream.socket.take_error() {
                 Ok(None) => {}
-                Ok(Some(error)) | Err(error) => return self.broken(Failure::of(&error)),
+                Ok(Some(error)) | Err(error) => return self.fail(Failure::of(&error)),
             }
             if self.stream.socket.peer_addr().is_err() {
                 return Step::Wait;
@@ -105,47 +106,47 @@
     fn write(&mut self) -> Step {
         match self.stream.flush() {
             Ok(_) => Step::Wait,
-            Err(error) => self.broken(Failure::of(&error)),
+            Err(error) => self.fail(Failure::of(&error)),
         }
     }
 
     fn read(&mut self) -> Step {
         let before = self.stream.input.len();
-        let fill = self.stream.fill(BOUNDS.head + BOUNDS.body);
+        let fill = self.stream.fill(RESPONSE_BOUNDS.head + RESPONSE_BOUNDS.body);
         let received = self.stream.input.len() - before;
         if let Some(call) = self.call.as_mut().filter(|_| received > 0) {
-            call.progress(received, clock::now());
+            call.extend_deadline(received, clock::now());
         }
         if fill == Fill::Failed {
-            return self.broken(Failure::Closed);
+            return self.fail(Failure::Closed);
         }
         let has_ended = fill == Fill::Ended;
         if self.call.is_none() {
-            let is_over = has_ended || received > 0;
-            return if is_over { self.broken(Failure::Closed) } else { Step::Wait };
+            let is_unusable = has_ended || received > 0;
+            return if is_unusable { self.fail(Failure::Closed) } else { Step::Wait };
         }
-        if self.stream.input.len() < self.least && !has_ended {
+        if self.stream.input.len() < self.min_length && !has_ended {
             return Step::Wait;
         }
-        match parse::response(&self.stream.input, BOUNDS, has_ended, &mut self.chunks) {
-            Parsed::Partial(_) if has_ended => self.broken(Failure::Closed),
-            Parsed::Partial(least) => {
-                self.least = least;
+        match parse::response(&self.stream.input, RESPONSE_BOUNDS, has_ended, &mut self.chunked) {
+            Parsed::Partial(_) if has_ended => self.fail(Failure::Closed),
+            Parsed::Partial(min_length) => {
+                self.min_length = min_length;
                 Step::Wait
             }
-            Parsed::Whole { message, used, keeps } => {
+            Parsed::Complete { message, used, keep_alive } => {
                 self.stream.consume(used);
                 let call = self.call.take().expect("checked above").id;
-                // What follows answers nothing; on a connection that is kept, the next call
-                // would take it for its answer.
-                let keeps = keeps && self.stream.input.is_empty();
-                Step::Answered { call, response: message, keeps }
+                // Further input belongs to no call; if the connection were reused, the next call
+                // would take it for its response.
+                let keep_alive = keep_alive && self.stream.input.is_empty();
+                Step::Answered { call, response: message, keep_alive }
             }
-            Parsed::Bad(_) => self.broken(Failure::Malformed),
+            Parsed::Bad(_) => self.fail(Failure::Malformed),
         }
     }
 
-    fn broken(&mut self, failure: Failure) -> Step {
+    fn fail(&mut self, failure: Failure) -> Step {
         Step::Broken { call: self.call.take().map(|call| call.id), failure }
     }
 }
--- a/crates/net/src/parse.rs
+++ b/crates/net/src/parse.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages out of bytes, and back.
+//! Parser and writer of HTTP/1.1 messages.
 
 use std::io::Write as _;
 
@@ -6,54 +6,57 @@
 
 use crate::message::{Header, Request, Response, find};
 
-/// Most headers of one message.
+/// Largest number of headers of one message.
 const MAX_HEADERS: usize = 64;
 
-/// What a buffer holds.
+/// Result of parsing the start of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Parsed<T> {
-    /// The message goes on; it has at least so many bytes in all.
+    /// The message is incomplete; its total length is at least this number of bytes.
     Partial(usize),
-    /// A whole message.
-    Whole {
+    /// The message is complete.
+    Complete {
         /// The message.
         message: T,
-        /// Its length in bytes.
+        /// Its length in the buffer, in bytes.
         used: usize,
-        /// The connection may carry another one.
-        keeps: bool,
+        /// Whether the connection can be used for another message.
+        keep_alive: bool,
     },
-    /// No message; the status says why.
+    /// The bytes are not an acceptable message; the status code that fits the fault.
     Bad(u16),
 }
 
-/// Bounds of a message.
+/// Size limits of a message in bytes; `head` is the start line with the headers.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
     pub(crate) head: usize,
     pub(crate) body: usize,
 }
 
-/// Where a body ends.
-enum Body {
+/// How the end of a body is determined.
+enum Framing {
+    /// By its length in bytes.
     Length(usize),
+    /// By the last chunk of the chunked transfer encoding.
     Chunked,
-    /// With the connection; only a response may say so.
-    Open,
+    /// By the end of the connection; only for a response.
+    UntilClose,
 }
 
-/// How far a body in chunks has been read, so that none is read again when more of it comes.
+/// Progress in a body with chunked encoding, so that no chunk is parsed again when further bytes
+/// arrive.
 #[derive(Default)]
-pub(crate) struct Chunks {
-    /// Bytes read, from the end of the head.
-    at: usize,
+pub(crate) struct ChunkedBody {
+    /// Number of bytes parsed, from the end of the head.
+    offset: usize,
     body: Vec<u8>,
 }
 
-/// Reads a request from the start of a buffer. `chunks` is new for each request.
-pub(crate) fn request(buffer: &[u8], bounds: Bounds, chunks: &mut Chunks) -> Parsed<Request> {
-    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut head = httparse::Request::new(&mut slots);
+/// Parses a request at the start of a buffer. `chunked` must be empty at the start of each request.
+pub(crate) fn request(buffer: &[u8], bounds: Bounds, chunked: &mut ChunkedBody) -> Parsed<Request> {
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut header_buffer);
     let used = match head.parse(buffer) {
         Ok(httparse::Status::Complete(used)) if used <= bounds.head => used,
         Ok(httparse::Status::Partial) if buffer.len() <= bounds.head => return Parsed::Partial(0),
@@ -63,14 +66,14 @@
     let method = head.method.unwrap_or_default().to_owned();
     let target = head.path.unwrap_or_default().to_owned();
     let version = head.version.unwrap_or(1);
-    let Some(headers) = copy(head.headers) else { return Parsed::Bad(400) };
-    let body = match body_end(&headers) {
-        Some(Body::Open) => Body::Length(0),
-        Some(body) => body,
+    let Some(headers) = to_headers(head.headers) else { return Parsed::Bad(400) };
+    let framing = match framing_of(&headers) {
+        Some(Framing::UntilClose) => Framing::Length(0),
+        Some(framing) => framing,
         None => return Parsed::Bad(400),
     };
-    let keeps = keeps_alive(&headers, version);
-    finish(&buffer[used..], used, body, bounds, keeps, chunks, |body| Request {
+    let keep_alive = keeps_alive(&headers, version);
+    parse_body(&buffer[used..], used, framing, bounds, keep_alive, chunked, |body| Request {
         method,
         target,
         headers: without_framing(headers),
@@ -78,16 +81,16 @@
     })
 }
 
-/// Reads a response from the start of a buffer; `has_ended` when the peer has closed. `chunks` is
-/// new for each response.
+/// Parses a response at the start of a buffer. `has_ended` tells whether the peer has closed its
+/// side. `chunked` must be empty at the start of each response.
 pub(crate) fn response(
     buffer: &[u8],
     bounds: Bounds,
     has_ended: bool,
-    chunks: &mut Chunks,
+    chunked: &mut ChunkedBody,
 ) -> Parsed<Response> {
-    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut head = httparse::Response::new(&mut slots);
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut header_buffer);
     let used = match head.parse(buffer) {
         Ok(httparse::Status::Complete(used)) if used <= bounds.head => used,
         Ok(httparse::Status::Partial) if buffer.len() <= bounds.head => return Parsed::Partial(0),
@@ -95,55 +98,55 @@
     };
     let status = head.code.unwrap_or_default();
     let version = head.version.unwrap_or(1);
-    let Some(headers) = copy(head.headers) else { return Parsed::Bad(502) };
+    let Some(headers) = to_headers(head.headers) else { return Parsed::Bad(502) };
     let is_empty = status == 204 || status == 304 || status < 200;
-    let body = match body_end(&headers) {
-        _ if is_empty => Body::Length(0),
-        Some(Body::Open) if has_ended => Body::Length(buffer.len() - used),
-        Some(Body::Open) => return Parsed::Partial(0),
-        Some(body) => body,
+    let framing = match framing_of(&headers) {
+        _ if is_empty => Framing::Length(0),
+        Some(Framing::UntilClose) if has_ended => Framing::Length(buffer.len() - used),
+        Some(Framing::UntilClose) => return Parsed::Partial(0),
+        Some(framing) => framing,
         None => return Parsed::Bad(502),
     };
-    let keeps = keeps_alive(&headers, version) && !has_ended;
-    finish(&buffer[used..], used, body, bounds, keeps, chunks, |body| Response {
+    let keep_alive = keeps_alive(&headers, version) && !has_ended;
+    parse_body(&buffer[used..], used, framing, bounds, keep_alive, chunked, |body| Response {
         status,
         headers: without_framing(headers),
         body,
     })
 }
 
-fn finish<T>(
+fn parse_body<T>(
     rest: &[u8],
     head: usize,
-    body: Body,
+    framing: Framing,
     bounds: Bounds,
-    keeps: bool,
-    chunks: &mut Chunks,
+    keep_alive: bool,
+    chunked: &mut ChunkedBody,
     build: impl FnOnce(Bytes) -> T,
 ) -> Parsed<T> {
-    match body {
-        Body::Length(length) if length > bounds.body => Parsed::Bad(413),
-        Body::Length(length) if rest.len() < length => Parsed::Partial(head + length),
-        Body::Length(length) => {
+    match framing {
+        Framing::Length(length) if length > bounds.body => Parsed::Bad(413),
+        Framing::Length(length) if rest.len() < length => Parsed::Partial(head + length),
+        Framing::Length(length) => {
             let body = Bytes::copy_from_slice(&rest[..length]);
-            Parsed::Whole { message: build(body), used: head + length, keeps }
+            Parsed::Complete { message: build(body), used: head + length, keep_alive }
         }
-        Body::Chunked => match chunks.read(rest, bounds) {
-            Parsed::Whole { message, used, .. } => {
-                Parsed::Whole { message: build(message), used: head + used, keeps }
+        Framing::Chunked => match chunked.read(rest, bounds) {
+            Parsed::Complete { message, used, .. } => {
+                Parsed::Complete { message: build(message), used: head + used, keep_alive }
             }
             Parsed::Partial(_) => Parsed::Partial(0),
             Parsed::Bad(status) => Parsed::Bad(status),
         },
-        Body::Open => Parsed::Partial(0),
+        Framing::UntilClose => Parsed::Partial(0),
     }
 }
 
-impl Chunks {
-    /// Reads on in a body.
+impl ChunkedBody {
+    /// Continues to parse a body from `buffer`, which starts at the end of the head.
     fn read(&mut self, buffer: &[u8], bounds: Bounds) -> Parsed<Bytes> {
         loop {
-            let rest = &buffer[self.at..];
+            let rest = &buffer[self.offset..];
             let (used, size) = match httparse::parse_chunk_size(rest) {
                 Ok(httparse::Status::Complete((used, size))) => (used, size),
                 Ok(httparse::Status::Partial) if rest.len() <= bounds.head => {
@@ -156,24 +159,24 @@
                 return Parsed::Bad(413);
             }
             if size == 0 {
-                return self.trailer(&rest[used..], self.at + used, bounds);
+                return self.skip_trailer(&rest[used..], self.offset + used, bounds);
             }
             let Some(chunk) = rest.get(used..used + size + 2) else { return Parsed::Partial(0) };
             if &chunk[size..] != b"\r\n" {
                 return Parsed::Bad(400);
             }
             self.body.extend_from_slice(&chunk[..size]);
-            self.at += used + size + 2;
+            self.offset += used + size + 2;
         }
     }
 
-    /// Skips what follows the last chunk.
-    fn trailer(&mut self, rest: &[u8], at: usize, bounds: Bounds) -> Parsed<Bytes> {
-        let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        match httparse::parse_headers(rest, &mut slots) {
+    /// Skips the trailer section after the last chunk and returns the body.
+    fn skip_trailer(&mut self, rest: &[u8], offset: usize, bounds: Bounds) -> Parsed<Bytes> {
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        match httparse::parse_headers(rest, &mut header_buffer) {
             Ok(httparse::Status::Complete((used, _))) => {
                 let body = Bytes::from(std::mem::take(&mut self.body));
-                Parsed::Whole { message: body, used: at + used, keeps: true }
+                Parsed::Complete { message: body, used: offset + used, keep_alive: true }
             }
             Ok(httparse::Status::Partial) if rest.len() <= bounds.head => Parsed::Partial(0),
             _ => Parsed::Bad(400),
@@ -181,16 +184,17 @@
     }
 }
 
-fn copy(headers: &[httparse::Header<'_>]) -> Option<Vec<Header>> {
-    let copy = |header: &httparse::Header<'_>| {
+fn to_headers(headers: &[httparse::Header<'_>]) -> Option<Vec<Header>> {
+    let to_header = |header: &httparse::Header<'_>| {
         let value = std::str::from_utf8(header.value).ok()?.trim().to_owned();
         Some(Header { name: header.name.to_owned(), value })
     };
-    headers.iter().map(copy).collect()
+    headers.iter().map(to_header).collect()
 }
 
-/// None when the end is told in two ways: what stands between may have taken the other.
-fn body_end(headers: &[Header]) -> Option<Body> {
+/// Returns none if the headers are invalid or determine the end of the body in two ways: an
+/// intermediary may have followed the other one and taken the bytes for another message.
+fn framing_of(headers: &[Header]) -> Option<Framing> {
     let all = |name: &'static str| {
         let named = headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
         named.map(|header| header.value.as_str())
@@ -198,19 +202,19 @@
     let mut lengths = all("Content-Length");
     let mut encodings = all("Transfer-Encoding");
     match (lengths.next(), encodings.next()) {
-        (None, None) => Some(Body::Open),
-        (Some(first), None) if lengths.all(|other| other == first) => length(first),
+        (None, None) => Some(Framing::UntilClose),
+        (Some(first), None) if lengths.all(|other| other == first) => parse_content_length(first),
         (None, Some(encoding)) if encodings.next().is_none() => {
-            encoding.eq_ignore_ascii_case("chunked").then_some(Body::Chunked)
+            encoding.eq_ignore_ascii_case("chunked").then_some(Framing::Chunked)
         }
         _ => None,
     }
 }
 
-/// Reads digits and nothing else.
-fn length(text: &str) -> Option<Body> {
+/// Parses a length that consists of digits only; `parse` alone would accept a sign.
+fn parse_content_length(text: &str) -> Option<Framing> {
     let is_number = text.bytes().all(|byte| byte.is_ascii_digit());
-    text.parse().ok().filter(|_| is_number).map(Body::Length)
+    text.parse().ok().filter(|_| is_number).map(Framing::Length)
 }
 
 fn keeps_alive(headers: &[Header], version: u8) -> bool {
@@ -227,7 +231,7 @@
     headers
 }
 
-/// Writes a request for a host.
+/// Encodes a request; `host` is used if the request has no `Host` header.
 pub(crate) fn write_request(request: &Request, host: &str) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256 + request.body.len());
     let Request { method, target, .. } = request;
@@ -236,23 +240,23 @@
         push(&mut bytes, format_args!("Host: {host}\r\n"));
     }
     let has_body = !request.body.is_empty() || method == "POST" || method == "PUT";
-    end(&mut bytes, &request.headers, has_body.then_some(&request.body));
+    push_headers_and_body(&mut bytes, &request.headers, has_body.then_some(&request.body));
     bytes
 }
 
-/// Writes a response.
-pub(crate) fn write_response(response: &Response, keeps: bool) -> Vec<u8> {
+/// Encodes a response.
+pub(crate) fn write_response(response: &Response, keep_alive: bool) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(128 + response.body.len());
     let (status, reason) = (response.status, reason(response.status));
     push(&mut bytes, format_args!("HTTP/1.1 {status} {reason}\r\n"));
-    if !keeps {
+    if !keep_alive {
         push(&mut bytes, format_args!("Connection: close\r\n"));
     }
-    end(&mut bytes, &response.headers, Some(&response.body));
+    push_headers_and_body(&mut bytes, &response.headers, Some(&response.body));
     bytes
 }
 
-fn end(bytes: &mut Vec<u8>, headers: &[Header], body: Option<&Bytes>) {
+fn push_headers_and_body(bytes: &mut Vec<u8>, headers: &[Header], body: Option<&Bytes>) {
     for header in headers {
         push(bytes, format_args!("{}: {}\r\n", header.name, header.value));
     }
@@ -264,7 +268,7 @@
 }
 
 fn push(bytes: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
-    bytes.write_fmt(text).expect("a vector takes all that is written");
+    bytes.write_fmt(text).expect("writing to a vector cannot fail");
 }
 
 fn reason(status: u16) -> &'static str {
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! Connections that callers have opened.
+//! Connections that callers have opened to this process.
 
 use std::time::Duration;
 
@@ -9,43 +9,43 @@
     transfer::Transfer,
 };
 
-/// What a connection is about.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Waiting for a request, or for the rest of one.
+    /// Waiting for a request or for the rest of one.
     Reading,
-    /// A request has been handed out and is not answered yet.
-    Answering { keeps: bool },
-    /// The answer is being written.
-    Writing { keeps: bool },
+    /// A request has been passed on and has no response yet.
+    Answering { keep_alive: bool },
+    /// The response is being written.
+    Writing { keep_alive: bool },
 }
 
-/// What a connection has come to.
+/// Result of an event on a connection.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// Nothing to do until the next event.
+    /// Nothing to do before the next event.
     Wait,
-    /// A whole request.
+    /// A complete request.
     Request(Request),
-    /// The caller left while its request was being served.
-    Left,
-    /// To be closed.
+    /// The caller closed the connection before its request was answered.
+    Disconnected,
+    /// The connection is to be closed.
     Close,
 }
 
-/// One connection.
+/// Connection of a caller; serves one request at a time.
 pub(crate) struct Connection {
     pub(crate) stream: Stream,
     pub(crate) listener: usize,
     pub(crate) phase: Phase,
     limits: Limits,
-    /// When the present phase runs out; none while a request is being served.
+    /// Time at which the present phase times out; none while a request is being served.
     pub(crate) deadline: Option<Duration>,
-    /// The answer that is being written.
-    answer: Transfer,
-    /// Bytes that the present request has at least.
-    least: usize,
-    chunks: parse::Chunks,
+    /// Progress of the response that is being written.
+    transfer: Transfer,
+    /// Least length of the present request in bytes, as far as it is known.
+    min_length: usize,
+    chunked: parse::ChunkedBody,
     has_ended: bool,
 }
 
@@ -59,24 +59,24 @@
             phase,
             limits,
             deadline,
-            answer: Transfer::new(now),
-            least: 0,
-            chunks: parse::Chunks::default(),
+            transfer: Transfer::new(now),
+            min_length: 0,
+            chunked: parse::ChunkedBody::default(),
             has_ended: false,
         }
     }
 
-    /// Reads what has come.
+    /// Continues after the socket has become readable.
     pub(crate) fn readable(&mut self, now: Duration) -> Step {
         let was_empty = self.stream.input.is_empty();
-        let most = self.limits.head_bytes + self.limits.body_bytes;
-        match self.stream.fill(most) {
-            Fill::Failed => return self.lost(),
+        let max_input = self.limits.head_bytes + self.limits.body_bytes;
+        match self.stream.fill(max_input) {
+            Fill::Failed => return self.closed_by_caller(),
             Fill::Ended => self.has_ended = true,
             Fill::Open => {}
         }
         if self.phase != Phase::Reading {
-            return if self.has_ended { self.lost() } else { Step::Wait };
+            return if self.has_ended { self.closed_by_caller() } else { Step::Wait };
         }
         if was_empty && !self.stream.input.is_empty() {
             self.deadline = Some(now + self.limits.request_time);
@@ -84,65 +84,65 @@
         self.parse(now)
     }
 
-    fn lost(&self) -> Step {
-        if matches!(self.phase, Phase::Answering { .. }) { Step::Left } else { Step::Close }
+    fn closed_by_caller(&self) -> Step {
+        if matches!(self.phase, Phase::Answering { .. }) { Step::Disconnected } else { Step::Close }
     }
 
     fn parse(&mut self, now: Duration) -> Step {
-        if self.stream.input.len() < self.least || self.stream.input.is_empty() {
+        if self.stream.input.len() < self.min_length || self.stream.input.is_empty() {
             return if self.has_ended { Step::Close } else { Step::Wait };
         }
         let bounds = parse::Bounds { head: self.limits.head_bytes, body: self.limits.body_bytes };
-        match parse::request(&self.stream.input, bounds, &mut self.chunks) {
-            Parsed::Partial(least) => {
-                self.least = least;
+        match parse::request(&self.stream.input, bounds, &mut self.chunked) {
+            Parsed::Partial(min_length) => {
+                self.min_length = min_length;
                 if self.has_ended { Step::Close } else { Step::Wait }
             }
-            Parsed::Whole { message, used, keeps } => {
+            Parsed::Complete { message, used, keep_alive } => {
                 self.stream.consume(used);
-                self.least = 0;
-                self.chunks = parse::Chunks::default();
-                self.phase = Phase::Answering { keeps: keeps && !self.has_ended };
+                self.min_length = 0;
+                self.chunked = parse::ChunkedBody::default();
+                self.phase = Phase::Answering { keep_alive: keep_alive && !self.has_ended };
                 self.deadline = None;
                 Step::Request(message)
             }
             Parsed::Bad(status) => {
                 self.stream.input.clear();
-                self.chunks = parse::Chunks::default();
-                self.phase = Phase::Answering { keeps: false };
+                self.chunked = parse::ChunkedBody::default();
+                self.phase = Phase::Answering { keep_alive: false };
                 let response = Response::new(status, "");
                 self.answer(&response, now)
             }
         }
     }
 
-    /// Ends the connection with the answer to the request at hand.
+    /// Closes the connection after the response to the outstanding request.
     pub(crate) fn close_after_answer(&mut self) {
-        if let Phase::Answering { keeps } = &mut self.phase {
-            *keeps = false;
+        if let Phase::Answering { keep_alive } = &mut self.phase {
+            *keep_alive = false;
         }
     }
 
-    /// Sends the answer to the request at hand.
+    /// Sends the response to the outstanding request.
     pub(crate) fn answer(&mut self, response: &Response, now: Duration) -> Step {
-        let Phase::Answering { keeps } = self.phase else { return Step::Wait };
-        self.stream.push(&parse::write_response(response, keeps));
-        self.phase = Phase::Writing { keeps };
-        self.answer = Transfer::new(now + self.limits.request_time);
+        let Phase::Answering { keep_alive } = self.phase else { return Step::Wait };
+        self.stream.push(&parse::write_response(response, keep_alive));
+        self.phase = Phase::Writing { keep_alive };
+        self.transfer = Transfer::new(now + self.limits.request_time);
         self.writable(now)
     }
 
-    /// Goes on writing.
+    /// Continues after the socket has become writable.
     pub(crate) fn writable(&mut self, now: Duration) -> Step {
-        let Phase::Writing { keeps } = self.phase else { return Step::Wait };
+        let Phase::Writing { keep_alive } = self.phase else { return Step::Wait };
         let before = self.stream.unwritten();
         match self.stream.flush() {
             Err(_) => Step::Close,
             Ok(false) => {
-                self.deadline = Some(self.answer.pass(before - self.stream.unwritten()));
+                self.deadline = Some(self.transfer.extend(before - self.stream.unwritten()));
                 Step::Wait
             }
-            Ok(true) if keeps => {
+            Ok(true) if keep_alive => {
                 self.phase = Phase::Reading;
                 let has_more = !self.stream.input.is_empty();
                 let time = if has_more { self.limits.request_time } else { self.limits.idle_time };
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,47 +1,47 @@
-//! A non-blocking socket with its buffers.
+//! Non-blocking socket with input and output buffers.
 
 use std::io::{self, Read as _, Write as _};
 
 use mio::net::TcpStream;
 
-/// Bytes read by one call.
+/// Bytes read by one system call.
 const CHUNK: usize = 16 << 10;
-/// Capacity above which an emptied buffer is given back, in bytes.
-const KEPT_CAPACITY: usize = 64 << 10;
+/// Capacity in bytes above which an empty buffer is freed.
+const MAX_RETAINED_CAPACITY: usize = 64 << 10;
 
-/// What reading found.
+/// State of the connection after reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fill {
-    /// Nothing more for now.
+    /// The peer may send more.
     Open,
-    /// The peer has ended its side.
+    /// The peer has closed its sending side.
     Ended,
     /// The connection has failed.
     Failed,
 }
 
-/// The socket.
+/// Socket with its buffers.
 pub(crate) struct Stream {
     pub(crate) socket: TcpStream,
-    /// Read and not parsed yet.
+    /// Bytes that have been read but not parsed.
     pub(crate) input: Vec<u8>,
     output: Vec<u8>,
-    /// How much of `output` has been written.
+    /// Number of bytes of `output` that have been written.
     written: usize,
 }
 
 impl Stream {
     pub(crate) fn new(socket: TcpStream) -> Self {
-        // Without it small messages wait for the acknowledgement of earlier ones, up to 40 ms.
-        // A socket that refuses the option still works.
+        // Without TCP_NODELAY small messages wait up to 40 ms for the acknowledgement of earlier
+        // ones. A socket that does not accept the option still works.
         let _ = socket.set_nodelay(true);
         Stream { socket, input: Vec::new(), output: Vec::new(), written: 0 }
     }
 
-    /// Reads all there is, up to `most` bytes waiting to be parsed.
-    pub(crate) fn fill(&mut self, most: usize) -> Fill {
+    /// Reads the available bytes, until more than `max_input` bytes wait to be parsed.
+    pub(crate) fn fill(&mut self, max_input: usize) -> Fill {
         let mut chunk = [0; CHUNK];
-        while self.input.len() <= most {
+        while self.input.len() <= max_input {
             match self.socket.read(&mut chunk) {
                 Ok(0) => return Fill::Ended,
                 Ok(count) => self.input.extend_from_slice(&chunk[..count]),
@@ -53,10 +53,10 @@
         Fill::Open
     }
 
-    /// Takes parsed bytes out of the input.
+    /// Removes parsed bytes from the input.
     pub(crate) fn consume(&mut self, count: usize) {
         self.input.drain(..count);
-        if self.input.is_empty() && self.input.capacity() > KEPT_CAPACITY {
+        if self.input.is_empty() && self.input.capacity() > MAX_RETAINED_CAPACITY {
             self.input = Vec::new();
         }
     }
@@ -65,12 +65,12 @@
         self.output.extend_from_slice(bytes);
     }
 
-    /// Bytes that are still to be written.
+    /// Number of bytes that are still to be written.
     pub(crate) fn unwritten(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Writes what it can; true when nothing is left.
+    /// Writes as much as the socket accepts; returns whether all has been written.
     pub(crate) fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.output.len() {
             match self.socket.write(&self.output[self.written..]) {
@@ -83,7 +83,7 @@
         }
         self.output.clear();
         self.written = 0;
-        if self.output.capacity() > KEPT_CAPACITY {
+        if self.output.capacity() > MAX_RETAINED_CAPACITY {
             self.output = Vec::new();
         }
         Ok(true)
--- a/crates/net/src/transfer.rs
+++ b/crates/net/src/transfer.rs
@@ -1,32 +1,32 @@
-//! How long a message may take while it is being carried.
+//! Timeout of a message that is being transferred.
 
 use std::time::Duration;
 
-/// Rate below which a message is given up, in bytes a second.
-const LEAST_RATE: f64 = 16_384.0;
-/// Longest time that a message may take beyond the one that it is given at first.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Rate in bytes per second below which a transfer times out.
+const MIN_RATE: f64 = 16_384.0;
+/// Longest time by which progress extends the initial timeout.
+const MAX_EXTENSION: Duration = Duration::from_secs(10);
 
-/// A message under way.
+/// Progress of one message.
 ///
-/// Guards against a large message on a slow link that is given up, thrown away and sent again for
-/// ever: what has passed buys time.
+/// Guards against a large message on a slow link that is aborted, discarded and sent again for
+/// ever: each transferred byte extends the timeout.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
-    due: Duration,
+    timeout_at: Duration,
     bytes: usize,
 }
 
 impl Transfer {
-    /// One that is given up at a time if nothing of it passes.
-    pub(crate) fn new(due: Duration) -> Self {
-        Transfer { due, bytes: 0 }
+    /// Starts a transfer that times out at `timeout_at` if no byte is transferred.
+    pub(crate) fn new(timeout_at: Duration) -> Self {
+        Transfer { timeout_at, bytes: 0 }
     }
 
-    /// Notes that so many bytes more have passed; returns when it is given up now.
-    pub(crate) fn pass(&mut self, bytes: usize) -> Duration {
+    /// Records that further bytes have been transferred; returns the time of the extended timeout.
+    pub(crate) fn extend(&mut self, bytes: usize) -> Duration {
         self.bytes += bytes;
-        let bought = Duration::from_secs_f64(self.bytes as f64 / LEAST_RATE);
-        self.due + bought.min(LONGEST)
+        let extension = Duration::from_secs_f64(self.bytes as f64 / MIN_RATE);
+        self.timeout_at + extension.min(MAX_EXTENSION)
     }
 }
--- a/crates/net/tests/fuzz/mod.rs
+++ b/crates/net/tests/fuzz/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP with anything in it, over loopback.
+//! Property tests of the hub over loopback: valid, mutated and arbitrary HTTP messages.
 
 use std::{
     env,
@@ -25,26 +25,28 @@
 
 use crate::hub::free_address;
 
-/// The same cases each time, or as many others as `PROPTEST_CASES` says.
+/// Runs the same cases each time, or as many random ones as `PROPTEST_CASES` says.
 fn cases(count: u32) -> ProptestConfig {
-    let kept = FileFailurePersistence::WithSource("proptest-regressions");
-    let by_hand =
-        ProptestConfig { failure_persistence: Some(Box::new(kept)), ..ProptestConfig::default() };
+    let persistence = FileFailurePersistence::WithSource("proptest-regressions");
+    let random = ProptestConfig {
+        failure_persistence: Some(Box::new(persistence)),
+        ..ProptestConfig::default()
+    };
     if env::var_os("PROPTEST_CASES").is_some() {
-        return by_hand;
+        return random;
     }
-    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..by_hand }
+    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..random }
 }
 
 const WAIT: Duration = Duration::from_secs(10);
-/// Largest body that the servers here take, in bytes.
+/// Largest body that the servers of these tests accept, in bytes.
 const BODY: usize = 4 << 10;
 
 fn limits() -> Limits {
     Limits { body_bytes: BODY, ..Limits::default() }
 }
 
-/// Address of a server that answers every request with its body, until the process ends.
+/// Address of a server that echoes the body of every request; it runs until the process ends.
 fn server() -> SocketAddr {
     static ADDRESS: OnceLock<SocketAddr> = OnceLock::new();
     *ADDRESS.get_or_init(|| {
@@ -66,14 +68,14 @@
     })
 }
 
-/// Sends bytes in two parts and returns all that comes back until the server closes.
-fn send(parts: [&[u8]; 2], then_ends: bool) -> String {
+/// Sends bytes in two parts and returns the response, up to the end of the connection.
+fn send(parts: [&[u8]; 2], then_shuts_down: bool) -> String {
     let mut socket = TcpStream::connect(server()).expect("the server listens");
-    socket.set_nodelay(true).expect("it is an option of every socket");
-    socket.set_read_timeout(Some(WAIT)).expect("a time-out can be set");
-    // The server may have closed after the first part.
+    socket.set_nodelay(true).expect("every socket has this option");
+    socket.set_read_timeout(Some(WAIT)).expect("a timeout can be set");
+    // Fails if the server has closed the connection after the first part.
     let _ = socket.write_all(parts[0]).and_then(|()| socket.write_all(parts[1]));
-    if then_ends {
+    if then_shuts_down {
         let _ = socket.shutdown(Shutdown::Write);
     }
     let mut answer = Vec::new();
@@ -81,12 +83,12 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn ask(request: &str) -> String {
+fn send_text(request: &str) -> String {
     send([request.as_bytes(), b""], false)
 }
 
-/// A good message with a part of it mutated, or any bytes.
-fn bytes(good: &'static [&'static str]) -> impl Strategy<Value = Vec<u8>> {
+/// A valid message with one part mutated, or arbitrary bytes.
+fn bytes(valid: &'static [&'static str]) -> impl Strategy<Value = Vec<u8>> {
     let part = prop_oneof![
         sample::select(vec![
             "\r\n",
@@ -112,12 +114,12 @@
         Just(vec![b'a'; 20_000]),
         Just("X: y\r\n".repeat(100).into_bytes()),
     ];
-    let mutated = (sample::select(good), any::<[sample::Index; 2]>(), part, any::<bool>())
-        .prop_map(|(good, [at, length], part, replaces)| {
-            let mut bytes = good.as_bytes().to_vec();
+    let mutated = (sample::select(valid), any::<[sample::Index; 2]>(), part, any::<bool>())
+        .prop_map(|(valid, [at, length], part, replaces)| {
+            let mut bytes = valid.as_bytes().to_vec();
             let at = at.index(bytes.len());
-            let over = if replaces { length.index(8.min(bytes.len() - at) + 1) } else { 0 };
-            bytes.splice(at..at + over, part);
+            let removed = if replaces { length.index(8.min(bytes.len() - at) + 1) } else { 0 };
+            bytes.splice(at..at + removed, part);
             bytes
         });
     prop_oneof![1 => collection::vec(any::<u8>(), 0..100), 5 => mutated]
@@ -137,10 +139,10 @@
     "HTTP/1.1 204 None\r\nX: y\r\n\r\n",
 ];
 
-/// One call to a server that answers with some bytes and closes.
+/// Makes one call to a server that responds with the given bytes and closes the connection.
 fn call(hub: &mut Hub, answer: Vec<u8>) -> Result<Response, Failure> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let serving = thread::spawn(move || {
         let (mut socket, _) = listener.accept().expect("the hub calls");
         let mut head = [0; 1024];
@@ -148,7 +150,7 @@
         let _ = socket.write_all(&answer);
     });
     let result = outcome(hub, address, &Request::new("GET", "/", ""));
-    serving.join().expect("it has served");
+    serving.join().expect("the server ends");
     result
 }
 
@@ -174,16 +176,16 @@
     #![proptest_config(cases(256))]
 
     #[test]
-    fn any_request_is_served_or_refused(bytes in bytes(REQUESTS), at in any::<sample::Index>()) {
+    fn any_request_is_answered_or_closed(bytes in bytes(REQUESTS), at in any::<sample::Index>()) {
         let at = at.index(bytes.len() + 1);
         let answer = send([&bytes[..at], &bytes[at..]], true);
         prop_assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 "), "{}", answer);
-        let after = ask("POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 1\r\n\r\nz");
+        let after = send_text("POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 1\r\n\r\nz");
         prop_assert!(after.ends_with("\r\n\r\nz"), "{}", after);
     }
 
     #[test]
-    fn any_answer_is_read_or_refused(bytes in bytes(RESPONSES)) {
+    fn any_response_is_accepted_or_fails(bytes in bytes(RESPONSES)) {
         let mut hub = Hub::new().expect("the system gives an event queue");
         match call(&mut hub, bytes.clone()) {
             Ok(response) => {
@@ -195,19 +197,19 @@
     }
 
     #[test]
-    fn messages_are_read_back(
+    fn messages_survive_the_transfer(
         method in sample::select(vec!["GET", "POST", "PUT", "DELETE"]),
         target in "/[a-z0-9/?=&_.-]{0,40}",
-        asked in headers(),
-        told in headers(),
-        status in (200..600_u16).prop_filter("may have a body", |it| ![204, 304].contains(it)),
+        request_headers in headers(),
+        response_headers in headers(),
+        status in (200..600_u16).prop_filter("allows a body", |code| ![204, 304].contains(code)),
         bodies in any::<[Vec<u8>; 2]>(),
     ) {
-        let [asked_body, told_body] = bodies.map(Bytes::from);
-        let mut request = Request::new(method, &target, asked_body);
-        request.headers = asked;
-        let mut response = Response::new(status, told_body);
-        response.headers = told;
+        let [request_body, response_body] = bodies.map(Bytes::from);
+        let mut request = Request::new(method, &target, request_body);
+        request.headers = request_headers;
+        let mut response = Response::new(status, response_body);
+        response.headers = response_headers;
         let address = free_address();
         let mut hub = Hub::new().expect("the system gives an event queue");
         hub.listen(address, limits()).expect("the port is free");
--- a/crates/net/tests/hub/mod.rs
+++ b/crates/net/tests/hub/mod.rs
@@ -1,4 +1,4 @@
-//! A loop that serves and calls, against plain sockets.
+//! Tests of the hub as server and client against plain sockets.
 
 use std::{
     io::{Read as _, Write as _},
@@ -17,8 +17,8 @@
 
 const WAIT: Duration = Duration::from_secs(10);
 
-/// An address at which nothing listens, on a loopback host that no other test uses: a port of a
-/// shared host could be another test's by the time that it is used.
+/// Returns an address at which nothing listens, on a loopback host that no other test uses. On a
+/// shared host another test could take the port before it is used.
 pub(crate) fn free_address() -> SocketAddr {
     static HOSTS: AtomicU8 = AtomicU8::new(1);
     let host = HOSTS.fetch_add(1, Ordering::Relaxed);
@@ -27,24 +27,25 @@
     listener.and_then(|it| it.local_addr()).expect("loopback has free ports")
 }
 
-/// Serves until a caller asks for `/end`; returns how many callers left before their answer.
+/// Serves until a caller requests `/end`; returns how many callers disconnected before their
+/// response.
 fn serve(address: SocketAddr, limits: Limits) -> thread::JoinHandle<usize> {
     let mut hub = Hub::new().expect("the system gives an event queue");
     hub.listen(address, limits).expect("the port is free");
     thread::spawn(move || {
-        let mut left = 0;
+        let mut disconnected = 0;
         loop {
             hub.poll(WAIT).expect("the event queue works");
             while let Some(event) = hub.next_event() {
                 match event {
                     Event::Request { caller, request, .. } if request.path() == "/end" => {
                         hub.answer(caller, &Response::new(200, "end"));
-                        return left;
+                        return disconnected;
                     }
                     Event::Request { caller, request, .. } if request.path() != "/never" => {
                         hub.answer(caller, &Response::new(200, request.body));
                     }
-                    Event::Left(_) => left += 1,
+                    Event::Left(_) => disconnected += 1,
                     Event::NotAccepted { kind, .. } => panic!("not accepted: {kind}"),
                     _ => {}
                 }
@@ -53,14 +54,14 @@
     })
 }
 
-fn ask(address: SocketAddr, request: &str) -> String {
-    let mut socket = TcpStream::connect(address).expect("somebody listens");
-    socket.set_read_timeout(Some(WAIT)).expect("a time-out can be set");
-    socket.write_all(request.as_bytes()).expect("it takes the request");
+fn send(address: SocketAddr, request: &str) -> String {
+    let mut socket = TcpStream::connect(address).expect("the server listens");
+    socket.set_read_timeout(Some(WAIT)).expect("a timeout can be set");
+    socket.write_all(request.as_bytes()).expect("the request can be sent");
     let mut answer = Vec::new();
     let mut chunk = [0; 4096];
     loop {
-        let count = socket.read(&mut chunk).expect("it answers");
+        let count = socket.read(&mut chunk).expect("the server responds");
         answer.extend_from_slice(&chunk[..count]);
         let text = String::from_utf8_lossy(&answer).into_owned();
         if count == 0 || text.contains("\r\n\r\n") {
@@ -69,51 +70,51 @@
     }
 }
 
-fn end(address: SocketAddr) {
-    ask(address, "GET /end HTTP/1.1\r\nHost: x\r\n\r\n");
+fn stop(address: SocketAddr) {
+    send(address, "GET /end HTTP/1.1\r\nHost: x\r\n\r\n");
 }
 
-/// Nobody is served any more. Callers open connections and stop in the middle of a header or a
-/// body, as many as there may be; they give way to the ones that come after them.
+/// Guards against callers that block a server by opening as many connections as the limit allows
+/// and stalling in the middle of a header or body: their connections are closed for new ones.
 #[test]
-fn connections_that_stall_keep_nobody_out() {
+fn stalled_connections_block_no_other_caller() {
     let address = free_address();
     let limits = Limits { connections: 16, ..Limits::default() };
     let server = serve(address, limits);
     let stalled: Vec<TcpStream> = (0..64)
         .map(|index| {
-            let mut socket = TcpStream::connect(address).expect("somebody listens");
+            let mut socket = TcpStream::connect(address).expect("the server listens");
             let part = if index % 2 == 0 {
                 "GET / HTTP/1.1\r\nHo"
             } else {
                 "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nab"
             };
-            // One that has given way already can't be written to.
+            // Fails if the server has closed the connection already.
             let _ = socket.write_all(part.as_bytes());
             socket
         })
         .collect();
     for _ in 0..8 {
-        let answer = ask(address, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+        let answer = send(address, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
     drop(stalled);
-    end(address);
+    stop(address);
     server.join().expect("the server ends");
 }
 
 #[test]
-fn a_caller_that_leaves_is_noticed() {
+fn a_disconnected_caller_is_reported() {
     let address = free_address();
     let server = serve(address, Limits::default());
-    let mut socket = TcpStream::connect(address).expect("somebody listens");
-    socket.write_all(b"GET /never HTTP/1.1\r\nHost: x\r\n\r\n").expect("it takes the request");
-    // The request has been read once another one on a later connection is answered.
-    ask(address, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    socket.shutdown(Shutdown::Both).expect("it can be closed");
+    let mut socket = TcpStream::connect(address).expect("the server listens");
+    socket.write_all(b"GET /never HTTP/1.1\r\nHost: x\r\n\r\n").expect("the request can be sent");
+    // Once a request on a later connection is answered, the server has read the first one.
+    send(address, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    socket.shutdown(Shutdown::Both).expect("the socket can be shut down");
     drop(socket);
-    ask(address, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    end(address);
+    send(address, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    stop(address);
     assert_eq!(server.join().expect("the server ends"), 1);
 }
 
@@ -130,13 +131,13 @@
         ("POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n".to_owned(), "400"),
         ("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n".to_owned(), "413"),
     ] {
-        let answer = ask(address, &request);
+        let answer = send(address, &request);
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{request:?}: {answer}");
     }
     let chunked =
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
-    assert!(ask(address, chunked).contains("Content-Length: 3"));
-    end(address);
+    assert!(send(address, chunked).contains("Content-Length: 3"));
+    stop(address);
     server.join().expect("the server ends");
 }
 
@@ -151,21 +152,21 @@
     }
 }
 
-/// A connection goes silent without a reset, as behind a partition. Only the call's own time-out
-/// shows it; the next call takes a new connection.
+/// Guards against a call that waits for ever on a connection that stops without a reset, as in a
+/// network partition: the call times out and the next call opens a new connection.
 #[test]
-fn a_silent_server_costs_one_time_out() {
+fn a_silent_server_costs_one_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let server = thread::spawn(move || {
         let (_silent, _) = listener.accept().expect("the first call connects");
-        let (mut socket, _) = listener.accept().expect("the second call connects anew");
+        let (mut socket, _) = listener.accept().expect("the second call opens a new connection");
         let mut chunk = [0; 1024];
-        let count = socket.read(&mut chunk).expect("it sends its request");
+        let count = socket.read(&mut chunk).expect("the client sends its request");
         assert!(count > 0);
         socket
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            .expect("it takes the answer");
+            .expect("the response can be sent");
     });
     let mut hub = Hub::new().expect("the system gives an event queue");
     let request = Request::new("GET", "/", "");
@@ -177,34 +178,34 @@
 }
 
 #[test]
-fn a_port_without_a_listener_refuses() {
+fn a_call_to_a_port_without_listener_is_refused() {
     let address = free_address();
     let mut hub = Hub::new().expect("the system gives an event queue");
     hub.call(address, &Request::new("GET", "/", ""), WAIT);
     assert_eq!(outcome(&mut hub), Err(Failure::Refused));
 }
 
-/// Bytes of one part of an answer.
+/// Size of one part of a response, in bytes.
 const PART_BYTES: usize = 64 << 10;
 
-/// Serves one call with an answer in parts; the closure is called between them.
+/// Serves one call with a response that is sent in parts; `between` is called before each part.
 fn serve_in_parts(
     parts: usize,
     mut between: impl FnMut(usize) + Send + 'static,
 ) -> (SocketAddr, thread::JoinHandle<()>) {
     static PART: [u8; PART_BYTES] = [b'x'; PART_BYTES];
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let server = thread::spawn(move || {
         let (mut socket, _) = listener.accept().expect("the call connects");
         let mut chunk = [0; 1024];
-        assert!(socket.read(&mut chunk).expect("it sends its request") > 0);
+        assert!(socket.read(&mut chunk).expect("the client sends its request") > 0);
         let length = parts * PART.len();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-        socket.write_all(head.as_bytes()).expect("it takes the head");
+        socket.write_all(head.as_bytes()).expect("the head can be sent");
         for part in 0..parts {
             between(part);
-            // A caller that has given up can't be written to.
+            // Fails once the caller has timed out.
             if socket.write_all(&PART).is_err() {
                 return;
             }
@@ -213,24 +214,24 @@
     (address, server)
 }
 
-/// Guards against a large answer that is thrown away, and asked for again, because a slow link
-/// takes longer to carry it than the call may wait for an answer to begin.
+/// Guards against a large response that is discarded and requested again, because a slow link takes
+/// longer to transfer it than the timeout of the call.
 #[test]
-fn an_answer_that_keeps_arriving_is_not_given_up() {
+fn a_response_that_keeps_arriving_does_not_time_out() {
     const PARTS: usize = 40;
-    let time_out = Duration::from_millis(800);
-    let (address, server) = serve_in_parts(PARTS, move |_| thread::sleep(time_out / 16));
+    let timeout = Duration::from_millis(800);
+    let (address, server) = serve_in_parts(PARTS, move |_| thread::sleep(timeout / 16));
     let mut hub = Hub::new().expect("the system gives an event queue");
-    hub.call(address, &Request::new("GET", "/", ""), time_out);
+    hub.call(address, &Request::new("GET", "/", ""), timeout);
     let length = outcome(&mut hub).map(|response| response.body.len());
     assert_eq!(length, Ok(PARTS * PART_BYTES));
     server.join().expect("the server ends");
 }
 
-/// Guards against a large answer that is cut off because a slow link takes longer to carry it than
-/// one request may take.
+/// Guards against a large response that is truncated because a slow link takes longer to transfer
+/// it than the timeout of a request.
 #[test]
-fn an_answer_that_keeps_being_read_is_not_cut_off() {
+fn a_response_that_keeps_being_read_is_not_truncated() {
     const BODY: usize = 16 << 20;
     let address = free_address();
     let limits = Limits {
@@ -239,26 +240,26 @@
         ..Limits::default()
     };
     let server = serve(address, limits);
-    let mut socket = TcpStream::connect(address).expect("somebody listens");
+    let mut socket = TcpStream::connect(address).expect("the server listens");
     let head = format!("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: {BODY}\r\n\r\n");
-    socket.write_all(head.as_bytes()).expect("it takes the head");
-    socket.write_all(&vec![b'x'; BODY]).expect("it takes the body");
+    socket.write_all(head.as_bytes()).expect("the head can be sent");
+    socket.write_all(&vec![b'x'; BODY]).expect("the body can be sent");
     let mut chunk = vec![0; 256 << 10];
     let mut received = 0;
     while received < BODY {
-        let count = socket.read(&mut chunk).expect("it goes on");
-        assert!(count > 0, "cut off after {received} bytes");
+        let count = socket.read(&mut chunk).expect("the response goes on");
+        assert!(count > 0, "response truncated after {received} of {BODY} bytes");
         received += count;
         thread::sleep(Duration::from_millis(20));
     }
-    end(address);
+    stop(address);
     server.join().expect("the server ends");
 }
 
-/// Guards against a long poll whose connection goes silent in the middle of the answer and that is
-/// waited for to the end of the poll.
+/// Guards against a long poll that waits for its whole timeout, although the connection has stopped
+/// in the middle of the response.
 #[test]
-fn an_answer_that_pauses_too_long_is_given_up_before_the_time_out() {
+fn a_response_with_a_long_gap_fails_before_the_timeout() {
     let (release, wait) = std::sync::mpsc::channel::<()>();
     let (address, server) = serve_in_parts(2, move |part| {
         if part == 1 {
@@ -270,20 +271,20 @@
     let begun = std::time::Instant::now();
     hub.call(address, &Request::new("GET", "/", ""), WAIT);
     assert_eq!(outcome(&mut hub), Err(Failure::Timeout));
-    assert!(begun.elapsed() < WAIT / 2, "after {:?}", begun.elapsed());
+    assert!(begun.elapsed() < WAIT / 2, "failed after {:?} only", begun.elapsed());
     drop(release);
     server.join().expect("the server ends");
 }
 
-/// Guards against a server that keeps a call waiting with a byte now and then.
+/// Guards against a server that prolongs a call without end by sending single bytes.
 #[test]
-fn an_answer_that_trickles_is_given_up() {
+fn a_response_below_the_least_rate_times_out() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let server = thread::spawn(move || {
         let (mut socket, _) = listener.accept().expect("the call connects");
         let head = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n";
-        socket.write_all(head).expect("it takes the head");
+        socket.write_all(head).expect("the head can be sent");
         while socket.write_all(b"x").is_ok() {
             thread::sleep(Duration::from_millis(5));
         }
@@ -294,9 +295,9 @@
     server.join().expect("the server ends");
 }
 
-/// Guards against a call that waits for ever for the rest of an answer.
+/// Guards against a call that waits for ever for the rest of a response.
 #[test]
-fn an_answer_that_stops_arriving_is_given_up() {
+fn a_response_that_stops_arriving_times_out() {
     let (release, wait) = std::sync::mpsc::channel::<()>();
     let (address, server) = serve_in_parts(2, move |part| {
         if part == 1 {
@@ -311,13 +312,14 @@
     server.join().expect("the server ends");
 }
 
-/// Guards against a message that is taken for two, or two for one, by what stands before the server.
+/// Guards against request smuggling: an intermediary and the server that disagree on where a
+/// request ends.
 #[test]
-fn a_request_whose_length_is_told_in_two_ways_is_refused() {
+fn a_request_with_ambiguous_length_is_refused() {
     let address = free_address();
     let server = serve(address, Limits::default());
     let status = |framing: &str| {
-        let answer = ask(address, &format!("POST / HTTP/1.1\r\nHost: x\r\n{framing}"));
+        let answer = send(address, &format!("POST / HTTP/1.1\r\nHost: x\r\n{framing}"));
         answer.split(' ').nth(1).unwrap_or_default().to_owned()
     };
     for framing in [
@@ -330,23 +332,23 @@
         assert_eq!(status(framing), "400", "{framing}");
     }
     assert_eq!(status("Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc"), "200");
-    end(address);
-    server.join().expect("it ends");
+    stop(address);
+    server.join().expect("the server ends");
 }
 
-/// Guards against a call that is given what its server sent too much in answer to the one before.
+/// Guards against a call that receives surplus bytes of the previous response on its connection.
 #[test]
-fn an_answer_that_nobody_asked_for_is_nobodys() {
+fn surplus_bytes_after_a_response_are_discarded() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let serving = thread::spawn(move || {
-        let answer = |text| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{text}");
-        for answers in [answer("a") + &answer("b"), answer("c")] {
+        let response = |text| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{text}");
+        for responses in [response("a") + &response("b"), response("c")] {
             let (mut socket, _) = listener.accept().expect("the hub calls");
             let mut head = [0; 1024];
             let _ = socket.read(&mut head);
-            socket.write_all(answers.as_bytes()).expect("the hub reads");
-            // Until the hub closes.
+            socket.write_all(responses.as_bytes()).expect("the hub reads");
+            // Returns when the hub closes the connection.
             let _ = socket.read(&mut head);
         }
     });
@@ -359,35 +361,35 @@
                 if let Event::Answer { call, result } = event
                     && call == id
                 {
-                    return result.expect("it is answered").body;
+                    return result.expect("the call succeeds").body;
                 }
             }
         }
     };
     assert_eq!((&body()[..], &body()[..]), (&b"a"[..], &b"c"[..]));
     drop(hub);
-    serving.join().expect("it has served");
+    serving.join().expect("the server ends");
 }
 
-/// Processor time of this thread for a body that comes a byte a chunk, each chunk on its own.
+/// Processor time that this thread takes to receive a body in chunks of one byte, sent one by one.
 fn time_of_small_chunks(count: usize) -> Duration {
     let address = free_address();
     let mut hub = Hub::new().expect("the system gives an event queue");
     let limits = Limits { request_time: Duration::from_secs(60), ..Limits::default() };
     hub.listen(address, limits).expect("the port is free");
     let mut socket = TcpStream::connect(address).expect("the hub listens");
-    socket.set_nodelay(true).expect("it is an option of every socket");
+    socket.set_nodelay(true).expect("every socket has this option");
     let head = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n";
-    socket.write_all(head.as_bytes()).expect("it takes the head");
+    socket.write_all(head.as_bytes()).expect("the head can be sent");
     let now = || clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("Linux has this clock");
     let before = now();
     for _ in 0..count {
-        socket.write_all(b"1\r\nx\r\n").expect("it takes a chunk");
+        socket.write_all(b"1\r\nx\r\n").expect("a chunk can be sent");
         hub.poll(Duration::from_millis(1)).expect("the event queue works");
         assert!(hub.next_event().is_none());
     }
     let time = Duration::from(now()) - Duration::from(before);
-    socket.write_all(b"0\r\n\r\n").expect("it takes the end");
+    socket.write_all(b"0\r\n\r\n").expect("the last chunk can be sent");
     loop {
         hub.poll(WAIT).expect("the event queue works");
         if let Some(Event::Request { request, .. }) = hub.next_event() {
@@ -397,9 +399,10 @@
     }
 }
 
-/// Guards against a caller that keeps the loop busy with a body that is read anew with each part.
+/// Guards against a caller that keeps the event loop busy with a chunked body: if all chunks were
+/// parsed again for each new one, the time would grow with the square of their number.
 #[test]
-fn a_body_in_small_chunks_takes_time_in_proportion() {
+fn the_time_for_a_chunked_body_is_linear() {
     let (one, two) = (time_of_small_chunks(8_000), time_of_small_chunks(16_000));
-    assert!(two < one * 3, "{one:?} for half of it, {two:?} for all");
+    assert!(two < one * 3, "{one:?} for half of the chunks, {two:?} for all");
 }
--- a/crates/net/tests/net.rs
+++ b/crates/net/tests/net.rs
@@ -1,4 +1,4 @@
-//! Tests of the event loop over loopback.
+//! Tests of the event loop over the loopback interface.
 
 mod fuzz;
 mod hub;
--- a/crates/store/src/call.rs
+++ b/crates/store/src/call.rs
@@ -155,8 +155,8 @@
     Leased(Lease),
     /// The lease has expired or does not exist.
     Lapsed,
-    /// No valid answer: the call may have taken effect, or may still do so later. Carries the reason.
+    /// No valid answer, with the reason: the call may have taken effect, or may still do so later.
     Unavailable(String),
-    /// The call has certainly not taken effect. Carries the reason.
+    /// The call has certainly not taken effect; the reason.
     NotDone(String),
 }
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,6 +1,7 @@
 //! Mutual exclusion by a key that one process at a time holds under a lease.
 //!
-//! The revision at which the key was created is the holder's term; each new holder has a higher one.
+//! The revision at which the key was created is the holder's term, which is higher for each new
+//! holder.
 
 use std::time::Duration;
 
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -23,9 +23,9 @@
     Reply::Unavailable("no answer".into())
 }
 
-/// Guards against a job that is stored twice or taken for lost: the store accepts the write, but its
-/// answer is lost. The writer retries and meets a conflict with its own value, so the change counts
-/// as stored, once.
+/// Guards against a job that is stored twice or taken for lost: the store accepts the write, but
+/// its answer is lost. The writer retries and meets a conflict with its own value, so the change
+/// counts as stored, once.
 #[test]
 fn a_write_whose_answer_is_lost_is_resolved_by_its_identifier() {
     let mut writer = writer::Writer::new("cell", "e1-7", 4);
