--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -4,12 +4,13 @@
 
 use crate::{finding, section, shared};
 
-const MAX_MEMORY: u64 = 64 << 40;
+/// Largest memory of a worker, in bytes.
+const MAX_MEMORY_BYTES: u64 = 64 << 40;
 
-/// Reads and checks the settings of an agent.
+/// Parses and checks the settings file of an agent.
 ///
 /// # Errors
-/// All findings of the file, among them an agent that has neither a worker nor a minion.
+/// All findings of the file. An agent with neither a worker nor a minion is a finding.
 pub fn read(text: &str) -> Result<Agent, Vec<finding::Finding>> {
     let agent = section::read_file(text, |file| Agent {
         name: file.name("name"),
@@ -37,7 +38,7 @@
         address: section.address("address"),
         accelerators: section.count("accelerators", None, 1..=64),
         processors: section.count("processors", None, 1..=4_096),
-        memory_bytes: section.size("memory", None, (1 << 20)..=MAX_MEMORY),
+        memory_bytes: section.size("memory", None, (1 << 20)..=MAX_MEMORY_BYTES),
     }
 }
 
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -4,12 +4,16 @@
 
 use crate::{finding, section, shared};
 
-const DEFAULT_BODY: u64 = 1 << 20;
-const MAX_BODY: u64 = 8 << 20;
+/// Default limit of the body of a request or response, in bytes.
+const DEFAULT_BODY_BYTES: u64 = 1 << 20;
+/// Largest limit of the body of a request or response that can be set, in bytes.
+const MAX_BODY_BYTES: u64 = 8 << 20;
+/// Default limit of callers' requests that an entry has outstanding.
 const DEFAULT_REQUESTS: u32 = 1_000;
+/// Default limit of jobs that a cell stores.
 const DEFAULT_JOBS: u32 = 2_000;
 
-/// Reads and checks the settings of an entry.
+/// Parses and checks the settings file of an entry.
 ///
 /// # Errors
 /// All findings of the file.
@@ -31,12 +35,12 @@
 
 fn limits(section: &mut section::Section<'_>) -> Limits {
     Limits {
-        body_bytes: section.size("body", Some(DEFAULT_BODY), 1024..=MAX_BODY),
+        body_bytes: section.size("body", Some(DEFAULT_BODY_BYTES), 1024..=MAX_BODY_BYTES),
         requests: section.count("requests", Some(DEFAULT_REQUESTS), 1..=100_000),
         jobs: section.count("jobs", Some(DEFAULT_JOBS), 1..=4_000),
     }
 }
 
 fn default_limits() -> Limits {
-    Limits { body_bytes: DEFAULT_BODY, requests: DEFAULT_REQUESTS, jobs: DEFAULT_JOBS }
+    Limits { body_bytes: DEFAULT_BODY_BYTES, requests: DEFAULT_REQUESTS, jobs: DEFAULT_JOBS }
 }
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a settings file, and where.
+//! Faults that the check of a settings file reports.
 
 use std::fmt;
 
 /// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Line in the file, from 1.
+    /// Line of the file, counted from 1.
     pub line: usize,
-    /// Dotted path of the key.
+    /// Path of the key, its parts separated by dots.
     pub key: String,
-    /// What is wrong and what is allowed.
+    /// Description of the fault and of the allowed values.
     pub message: String,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Findings as one text, a line each, prefixed with the file's name.
+/// Formats findings as text, one per line, each prefixed with the name of the file.
 pub fn report(file: &str, findings: &[Finding]) -> String {
     findings.iter().map(|finding| format!("{file}: {finding}\n")).collect()
 }
--- a/crates/settings/src/jobs.rs
+++ b/crates/settings/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Settings of both roles on the users' platform.
+//! Settings of entries and agents that schedule jobs on the users' platform.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::{finding, section, shared};
 
-/// Whether a settings file is meant for a process on the users' platform.
+/// Whether a settings file is for a process on the users' platform, as its key `platform` shows.
 pub fn is_meant(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("platform:"))
 }
 
-/// Reads and checks the settings of an entry.
+/// Parses and checks the settings file of an entry.
 ///
 /// # Errors
 /// All findings of the file.
@@ -35,7 +35,7 @@
     })
 }
 
-/// Reads and checks the settings of an agent.
+/// Parses and checks the settings file of an agent.
 ///
 /// # Errors
 /// All findings of the file.
@@ -57,7 +57,7 @@
     })
 }
 
-/// Platforms that there is an adapter for.
+/// Platforms for which there is an adapter.
 const PLATFORMS: [&str; 1] = ["kv"];
 
 fn bounds(file: &mut section::Section<'_>) -> Bounds {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Bounds that a file doesn't give, as on the deployments that are known.
+/// Default bounds, which hold on the known deployments.
 fn default_bounds() -> Bounds {
     Bounds {
         revocation_ms: 5_000,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Every mechanism is on unless a file says otherwise.
+/// Default policy: every mechanism is on.
 fn default_policy() -> Policy {
     Policy {
         learn_times: true,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Settings in YAML, checked whole: every finding is reported with its place.
+//! Reader of settings files in YAML. A file is checked completely, and all findings are reported
+//! together, with their lines.
 
 pub mod agent;
 pub mod entry;
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,7 +1,7 @@
-//! Reader of one mapping of a settings file.
+//! Reader of a mapping of a settings file.
 //!
-//! Each accessor takes its key out of the mapping, returns a value in any case and records a
-//! finding when the file's value is not allowed, so that one pass reports every fault.
+//! Each accessor removes its key from the mapping. It always returns a value, and records a finding
+//! if the value in the file is not allowed, so that one pass over the file reports every fault.
 
 use std::{collections, net, ops, time};
 
@@ -9,7 +9,7 @@
 
 use crate::finding;
 
-/// One mapping with the keys that have not been read yet.
+/// Mapping of a settings file, with the keys that have not been read yet.
 pub struct Section<'a> {
     path: String,
     line: usize,
@@ -23,7 +23,8 @@
 }
 
 impl<'a> Section<'a> {
-    /// Reads a mapping; `path` is its dotted key, empty for the whole file.
+    /// Creates the reader of a mapping. `path` is the key of the mapping with its parents,
+    /// separated by dots; empty for the whole file.
     pub fn new(path: &str, mapping: &'a MarkedMappingNode) -> Self {
         let line = mapping.span().start().map_or(1, |mark| mark.line());
         let unread = mapping.iter().map(|(key, node)| (key.as_str().to_owned(), node)).collect();
@@ -55,7 +56,7 @@
 
     fn missing(&mut self, name: &'static str, allowed: &str) {
         let line = self.line;
-        self.fault(line, name, format!("is missing; give {allowed}"));
+        self.fault(line, name, format!("is missing; must be {allowed}"));
     }
 
     fn parsed<T>(
@@ -79,14 +80,15 @@
         value.or(default)
     }
 
-    /// A name: letters, digits, `-`, `_` and `.`.
+    /// Reads a name of letters, digits, `-`, `_` and `.`.
     pub fn name(&mut self, name: &'static str) -> String {
         let allowed = "a name of 1 to 63 letters, digits, `-`, `_` or `.`";
         self.parsed(name, None, allowed, |text| is_name(text).then(|| text.to_owned()))
             .unwrap_or_default()
     }
 
-    /// A region: a name without dots, since it is the first part of a job's identifier.
+    /// Reads the name of a region. It has no dots, since the identifier of a job begins with the
+    /// region and a dot.
     pub fn region(&mut self, name: &'static str) -> String {
         let allowed = "a name of 1 to 63 letters, digits, `-` or `_`";
         let is_region = |text: &str| is_name(text) && !text.contains('.');
@@ -94,29 +96,29 @@
             .unwrap_or_default()
     }
 
-    /// One of several words.
+    /// Reads one of several words.
     pub fn word(&mut self, name: &'static str, default: &str, words: &[&str]) -> String {
         let allowed = format!("one of {}", words.join(", "));
         let parse = |text: &str| words.contains(&text).then(|| text.to_owned());
         self.parsed(name, Some(default.to_owned()), &allowed, parse).unwrap_or_default()
     }
 
-    /// A socket address, ip:port.
+    /// Reads a socket address, ip:port.
     pub fn address(&mut self, name: &'static str) -> String {
         self.parsed(name, None, "an address, ip:port", parse_address).unwrap_or_default()
     }
 
-    /// A socket address that may be left out.
+    /// Reads an optional socket address; empty if the key is missing.
     pub fn optional_address(&mut self, name: &'static str) -> String {
         self.parsed(name, Some(String::new()), "an address, ip:port", parse_address)
             .unwrap_or_default()
     }
 
-    /// A list of socket addresses.
-    pub fn addresses(&mut self, name: &'static str, least: usize) -> Vec<String> {
-        let allowed = format!("a list of at least {least} addresses, ip:port");
+    /// Reads a list of at least `min` socket addresses.
+    pub fn addresses(&mut self, name: &'static str, min: usize) -> Vec<String> {
+        let allowed = format!("a list of at least {min} addresses, ip:port");
         let Some(node) = self.take(name) else {
-            if least > 0 {
+            if min > 0 {
                 self.missing(name, &allowed);
             }
             return Vec::new();
@@ -133,17 +135,17 @@
                 None => self.fault(
                     line_of(item),
                     name,
-                    format!("holds `{text}`; each must be an address, ip:port"),
+                    format!("contains `{text}`; each must be an address, ip:port"),
                 ),
             }
         }
-        if sequence.len() < least {
+        if sequence.len() < min {
             self.fault(line_of(node), name, format!("must be {allowed}"));
         }
         addresses
     }
 
-    /// A switch, `on` or `off`.
+    /// Reads a switch, `on` or `off`.
     pub fn switch(&mut self, name: &'static str, default: bool) -> bool {
         let parse = |text: &str| match text {
             "on" | "true" => Some(true),
@@ -153,7 +155,7 @@
         self.parsed(name, Some(default), "on or off", parse).unwrap_or(default)
     }
 
-    /// A whole number within a range.
+    /// Reads a whole number within a range.
     pub fn count(
         &mut self,
         name: &'static str,
@@ -165,7 +167,7 @@
         self.parsed(name, default, &allowed, parse).unwrap_or_default()
     }
 
-    /// A duration with its unit, in milliseconds.
+    /// Reads a duration with a unit; returns it in milliseconds.
     pub fn duration(
         &mut self,
         name: &'static str,
@@ -174,7 +176,7 @@
     ) -> u64 {
         let text = |duration: &time::Duration| humantime::format_duration(*duration).to_string();
         let allowed = format!(
-            "a duration with its unit from {} to {}",
+            "a duration with a unit, from {} to {}",
             text(range.start()),
             text(range.end())
         );
@@ -183,7 +185,7 @@
         u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// A size with its unit, in bytes.
+    /// Reads a size with a unit; returns it in bytes.
     pub fn size(
         &mut self,
         name: &'static str,
@@ -191,7 +193,7 @@
         range: ops::RangeInclusive<u64>,
     ) -> u64 {
         let allowed = format!(
-            "a size with its unit (KiB, MiB, GiB) from {} to {}",
+            "a size with a unit (KiB, MiB, GiB), from {} to {}",
             format_size(*range.start()),
             format_size(*range.end())
         );
@@ -199,7 +201,7 @@
         self.parsed(name, default, &allowed, parse).unwrap_or_default()
     }
 
-    /// A nested mapping that must be there.
+    /// Reads a nested mapping that is required.
     pub fn section<T: Default>(
         &mut self,
         name: &'static str,
@@ -212,7 +214,7 @@
         self.optional_section(name, read).unwrap_or_default()
     }
 
-    /// A nested mapping that may be left out.
+    /// Reads a nested mapping that is optional.
     pub fn optional_section<T>(
         &mut self,
         name: &'static str,
@@ -229,28 +231,32 @@
         Some(value)
     }
 
-    /// Reports keys that nothing has read, and returns all findings.
+    /// Records a finding for each key that no accessor has read, and returns all findings.
     pub fn finish(mut self) -> Vec<finding::Finding> {
         let known = self.known.join(", ");
         for (name, node) in std::mem::take(&mut self.unread) {
             let name = if name.is_empty() { "\"\"" } else { &name };
-            self.fault(line_of(node), name, format!("is not a setting; known here: {known}"));
+            self.fault(
+                line_of(node),
+                name,
+                format!("is not a known setting; allowed here: {known}"),
+            );
         }
         self.findings.sort_by_key(|finding| finding.line);
         self.findings
     }
 }
 
-/// Reads a whole file; all findings are returned together.
+/// Reads a settings file and returns all findings together.
 ///
 /// # Errors
-/// When the text is not YAML, is not a mapping, or any setting is not allowed.
+/// If the text is not YAML, is not a mapping or contains a setting that is not allowed.
 pub fn read_file<T>(
     text: &str,
     read: impl FnOnce(&mut Section<'_>) -> T,
 ) -> Result<T, Vec<finding::Finding>> {
     let fault = |line, message| vec![finding::Finding { line, key: "file".to_owned(), message }];
-    if let Some(line) = too_deep(text) {
+    if let Some(line) = find_deep_line(text) {
         return Err(fault(line, format!("is nested deeper than {MAX_DEPTH} levels")));
     }
     let node = marked_yaml::parse_yaml(0, text).map_err(|error| {
@@ -263,7 +269,7 @@
             | marked_yaml::LoadError::ScanError(mark, _) => mark.line(),
             _ => 1,
         };
-        fault(line, format!("is not YAML that can be read: {error}"))
+        fault(line, format!("is not valid YAML: {error}"))
     })?;
     let mapping =
         node.as_mapping().ok_or_else(|| fault(1, "must be a mapping of settings".to_owned()))?;
@@ -273,28 +279,31 @@
     if findings.is_empty() { Ok(value) } else { Err(findings) }
 }
 
-/// Deepest nesting of a file.
+/// Largest depth of nesting of a file.
 const MAX_DEPTH: usize = 128;
 
-/// The first line that may nest too deep. The YAML reader calls itself for each level of blocks,
-/// and each of these takes a column or a mark of its own; brackets it counts itself.
-fn too_deep(text: &str) -> Option<usize> {
+/// Returns the number of the first line that may be nested too deeply.
+///
+/// The YAML parser recurses for each level of nested blocks, and each level takes at least one
+/// column of indentation or one indicator (`-`, `?` or `:`) of the line. The parser itself limits
+/// nested brackets.
+fn find_deep_line(text: &str) -> Option<usize> {
     let depth = |line: &str| {
         let indent = line.len() - line.trim_start().len();
-        let is_mark =
+        let is_indicator =
             |pair: &&[u8]| matches!(pair[0], b'-' | b'?' | b':') && pair[1].is_ascii_whitespace();
-        indent + line.as_bytes().windows(2).filter(is_mark).count()
+        indent + line.as_bytes().windows(2).filter(is_indicator).count()
     };
     text.split(['\n', '\r']).position(|line| depth(line) > MAX_DEPTH).map(|index| index + 1)
 }
 
-/// Whether the text can name a process, worker, zone or organisation.
+/// Whether the text is a valid name of a process, worker, zone or organisation.
 pub fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     !text.is_empty() && text.len() <= 63 && text.chars().all(allowed)
 }
 
-/// Reads a duration such as `500ms`, `2m 30s` or `1.5s`.
+/// Parses a duration such as `500ms`, `2m 30s` or `1.5s`.
 fn parse_duration(text: &str) -> Option<time::Duration> {
     let seconds = || text.strip_suffix('s')?.parse().ok();
     humantime::parse_duration(text)
@@ -309,14 +318,14 @@
 
 const UNITS: [(&str, u64); 4] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
 
-/// Reads a size such as `64 MiB`, in bytes.
+/// Parses a size such as `64 MiB`; returns it in bytes.
 pub fn parse_size(text: &str) -> Option<u64> {
     let (unit, scale) = UNITS.iter().find(|(unit, _)| text.ends_with(unit))?;
     let number: u64 = text.strip_suffix(unit)?.trim().parse().ok()?;
     number.checked_mul(*scale)
 }
 
-/// Writes a size with the largest unit that divides it.
+/// Formats a size with the largest unit of which it is a multiple.
 pub fn format_size(bytes: u64) -> String {
     let fits = |(_, scale): &&(&str, u64)| bytes >= *scale && bytes.is_multiple_of(*scale);
     let (unit, scale) = UNITS.iter().find(fits).unwrap_or(&("B", 1));
--- a/crates/settings/src/shared.rs
+++ b/crates/settings/src/shared.rs
@@ -1,4 +1,4 @@
-//! Sections that both roles have.
+//! Sections that settings files of entries and agents have in common.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// Reads `timing`; every value has a default.
+/// Reads the section `timing`; every value has a default.
 pub(crate) fn timing(section: &mut Section<'_>) -> Timing {
     section.optional_section("timing", read_timing).unwrap_or_else(default_timing)
 }
 
 fn read_timing(section: &mut Section<'_>) -> Timing {
-    let mut duration = |name, default: u64, least: u64, most: u64| {
-        section.duration(name, MILLISECOND * default as u32, range(least, most))
+    let mut duration = |name, default: u64, min: u64, max: u64| {
+        section.duration(name, MILLISECOND * default as u32, range(min, max))
     };
     Timing {
         heartbeat_ms: duration("heartbeat", 500, 50, 10_000),
@@ -27,11 +27,11 @@
     }
 }
 
-fn range(least: u64, most: u64) -> std::ops::RangeInclusive<Duration> {
-    Duration::from_millis(least)..=Duration::from_millis(most)
+fn range(min: u64, max: u64) -> std::ops::RangeInclusive<Duration> {
+    Duration::from_millis(min)..=Duration::from_millis(max)
 }
 
-/// Timing when the file has no such section.
+/// Timing of a file without the section `timing`.
 pub(crate) fn default_timing() -> Timing {
     Timing {
         heartbeat_ms: 500,
@@ -43,11 +43,11 @@
     }
 }
 
-/// Levels of logging, most severe first.
+/// Log levels, from none to all messages.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 const DEFAULT_LEVEL: &str = "info";
 
-/// Reads `logging`: a level for all parts, and one for each part that differs.
+/// Reads the section `logging`: the level of all parts of the program, and levels of single parts.
 pub(crate) fn logging(section: &mut Section<'_>) -> Logging {
     section.optional_section("logging", read_logging).unwrap_or_else(|| same_level(DEFAULT_LEVEL))
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads `metrics`.
+/// Reads the section `metrics`.
 pub(crate) fn metrics(section: &mut Section<'_>) -> Metrics {
     let read = |inner: &mut Section<'_>| Metrics { address: inner.optional_address("address") };
     section.optional_section("metrics", read).unwrap_or_default()
--- a/crates/settings/tests/fuzz/mod.rs
+++ b/crates/settings/tests/fuzz/mod.rs
@@ -1,4 +1,4 @@
-//! Settings files with anything in them.
+//! Property tests of settings files: valid, mutated and arbitrary texts.
 
 use std::env;
 
@@ -12,15 +12,17 @@
 };
 use sapphire_settings::{agent, entry, finding::Finding, jobs, section};
 
-/// The same cases each time, or as many others as `PROPTEST_CASES` says.
+/// Runs the same cases each time, or as many random ones as `PROPTEST_CASES` says.
 fn cases(count: u32) -> ProptestConfig {
-    let kept = FileFailurePersistence::WithSource("proptest-regressions");
-    let by_hand =
-        ProptestConfig { failure_persistence: Some(Box::new(kept)), ..ProptestConfig::default() };
+    let persistence = FileFailurePersistence::WithSource("proptest-regressions");
+    let random = ProptestConfig {
+        failure_persistence: Some(Box::new(persistence)),
+        ..ProptestConfig::default()
+    };
     if env::var_os("PROPTEST_CASES").is_some() {
-        return by_hand;
+        return random;
     }
-    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..by_hand }
+    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..random }
 }
 
 const FILES: [&str; 4] = [
@@ -39,7 +41,7 @@
      minion: 127.0.0.1:8000\ntasks: 127.0.0.1:8001\nentries:\n- 127.0.0.1:7001\n",
 ];
 
-/// Parts of which YAML is made.
+/// Tokens of YAML from which texts are composed.
 const PARTS: [&str; 24] = [
     "name", "address", "limits", "timing", "entries", "bounds", ":", ": ", "- ", "? ", "\n",
     "\n  ", "[", "]", "{", "}", ", ", "&a ", "*a", "!!int ", "|\n", "\"", "'", "# ",
@@ -55,7 +57,7 @@
     ]
 }
 
-/// A good file with one line left out, given twice, or with another value.
+/// A valid file with one line removed, repeated or given another value.
 fn mutated() -> impl Strategy<Value = String> {
     let value = prop_oneof![
         ".{0,12}",
@@ -86,10 +88,10 @@
     )
 }
 
-fn checked<T>(text: &str, read: Result<T, Vec<Finding>>) -> Result<(), TestCaseError> {
+fn check_findings<T>(text: &str, read: Result<T, Vec<Finding>>) -> Result<(), TestCaseError> {
     let Err(findings) = read else { return Ok(()) };
     prop_assert!(!findings.is_empty());
-    // What is missing at the end of a file is missing on the line behind the last.
+    // A finding about the end of the file has the line after the last one.
     let lines = text.chars().filter(|c| matches!(c, '\n' | '\r')).count() + 2;
     for finding in findings {
         prop_assert!((1..=lines).contains(&finding.line), "{finding} of {lines} lines");
@@ -104,21 +106,21 @@
 
     #[test]
     fn any_file_is_read_or_refused_with_its_place(text in texts()) {
-        checked(&text, entry::read(&text))?;
-        checked(&text, agent::read(&text))?;
-        checked(&text, jobs::read_entry(&text))?;
-        checked(&text, jobs::read_agent(&text))?;
+        check_findings(&text, entry::read(&text))?;
+        check_findings(&text, agent::read(&text))?;
+        check_findings(&text, jobs::read_entry(&text))?;
+        check_findings(&text, jobs::read_agent(&text))?;
         let _ = jobs::is_meant(&text);
     }
 
     #[test]
-    fn a_size_is_read_back(bytes in any::<u64>(), shift in 0..64_u32) {
+    fn a_formatted_size_is_parsed_again(bytes in any::<u64>(), shift in 0..64_u32) {
         let bytes = bytes >> shift;
         prop_assert_eq!(section::parse_size(&section::format_size(bytes)), Some(bytes));
     }
 
     #[test]
-    fn any_size_is_read_or_not(text in ".{0,20}|[0-9]{1,21} ?(B|KiB|MiB|GiB)") {
+    fn any_size_is_parsed_or_refused(text in ".{0,20}|[0-9]{1,21} ?(B|KiB|MiB|GiB)") {
         let _ = section::parse_size(&text);
     }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,5 @@
-//! A settings file is checked whole: each finding names its line, key and what is allowed.
+//! Tests that a settings file is checked completely and that each finding names its line, its key
+//! and the allowed values.
 
 use std::{fs, path};
 
@@ -31,7 +32,8 @@
     insta::assert_snapshot!(finding::report("agent.yaml", &findings));
 }
 
-/// A region with a dot would make job identifiers that name another region.
+/// Guards against identifiers of jobs that seem to belong to another region: an identifier begins
+/// with the region and a dot.
 #[test]
 fn a_region_has_no_dot() {
     let text = "name: e1\nregion: north.a\nzone: a\naddress: 127.0.0.1:1\nhttp: 127.0.0.1:2\n\
@@ -44,11 +46,12 @@
 fn the_example_settings_are_good() {
     let examples = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for member in ["atlantica", "pastizal"] {
-        let files = fs::read_dir(examples.join(member)).expect("the folder is there");
+        let files = fs::read_dir(examples.join(member)).expect("the folder exists");
         let mut read = 0;
-        for file in files.map(|file| file.expect("it can be listed").path()) {
-            let name = file.file_name().expect("it has one").to_string_lossy().into_owned();
-            let text = fs::read_to_string(&file).expect("it can be read");
+        for file in files.map(|file| file.expect("the folder can be listed").path()) {
+            let name =
+                file.file_name().expect("the path has a file name").to_string_lossy().into_owned();
+            let text = fs::read_to_string(&file).expect("the file can be read");
             match name.split('-').next() {
                 Some("entry") => assert!(entry::read(&text).is_ok(), "{name}"),
                 Some("agent") => assert!(agent::read(&text).is_ok(), "{name}"),
@@ -67,8 +70,8 @@
     }
 }
 
-/// An operator switches a mechanism off; one that doesn't exist, or a word that is no switch, is
-/// reported with its line, and all faults together.
+/// An operator can switch off single mechanisms. Unknown mechanisms and values that are neither on
+/// nor off are reported together, each with its line.
 #[test]
 fn mechanisms_of_the_policy_are_switched_by_name() {
     let file = |policy: &str| {
@@ -83,12 +86,12 @@
     let off = policy("policy:\n  move_slow: off\n");
     assert!(off.is_some_and(|policy| !policy.move_slow && policy.count_waves));
     let faults = read("policy:\n  move_slow: maybe\n  teleport: on\n").expect_err("has faults");
-    let told: Vec<(usize, &str)> =
+    let reported: Vec<(usize, &str)> =
         faults.iter().map(|fault| (fault.line, fault.key.as_str())).collect();
-    assert_eq!(told, [(10, "policy.move_slow"), (11, "policy.teleport")]);
+    assert_eq!(reported, [(10, "policy.move_slow"), (11, "policy.teleport")]);
 }
 
-/// Guards against a file whose nesting uses up the stack and ends the process.
+/// Guards against a file whose deep nesting overflows the stack and crashes the process.
 #[test]
 fn a_file_of_deep_nesting_is_refused() {
     let depth = 100_000;
@@ -109,9 +112,9 @@
     }
 }
 
-/// Guards against a finding that names no key.
+/// Guards against a finding with an empty key.
 #[test]
-fn a_key_without_a_name_is_told() {
+fn a_key_without_a_name_is_reported() {
     for text in [": name", "\"\": 1", "limits:\n  : 1"] {
         let findings = entry::read(text).expect_err("there is no such setting");
         assert!(findings.iter().any(|finding| finding.key.ends_with("\"\"")), "{findings:?}");
