--- a/crates/rules/src/diff.rs
+++ b/crates/rules/src/diff.rs
@@ -1,6 +1,6 @@
-//! Difference between two rule files, line by line.
+//! Line-by-line difference between two rule files.
 
-/// Unified difference; empty when both are the same.
+/// Returns the difference in unified format; empty if the files are equal.
 pub fn unified(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
     similar::TextDiff::from_lines(old, new)
         .unified_diff()
--- a/crates/rules/src/file.rs
+++ b/crates/rules/src/file.rs
@@ -1,4 +1,4 @@
-//! A whole rule file, parsed and checked.
+//! Parser of a rule file, with the checks that concern several lines.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,41 +12,45 @@
     rule::{self, Rule},
 };
 
+/// Kinds of rules, as a finding lists them.
 const KINDS: &str = "organisation, guarantee, quota, admission, reclaim, balance, drain, retries";
+/// Largest quota of accelerators.
 const MAX_ACCELERATORS: u32 = 1_000_000;
+/// Largest number of tasks in the gang of a guarantee.
 const MAX_TASKS: u32 = 256;
+/// Longest grace period before a borrower is stopped.
 const MAX_GRACE: Duration = Duration::from_secs(3_600);
 
-/// Grace period when no rule gives one.
+/// Grace period if no rule sets one.
 pub const DEFAULT_GRACE: Duration = Duration::from_secs(30);
-/// Waiting jobs of an organisation when no rule gives a limit.
+/// Limit of an organisation's waiting jobs if no rule sets one.
 pub const DEFAULT_QUEUE: u32 = 200;
-/// Attempts of one job when no rule gives a limit.
+/// Limit of attempts of a job if no rule sets one.
 pub const DEFAULT_ATTEMPTS: u32 = 3;
 
-/// One accepted line.
+/// Line of a file with its rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Line in the file, from 1.
+    /// Line of the file, counted from 1.
     pub line: usize,
-    /// What it says.
+    /// Rule of the line.
     pub rule: Rule,
-    /// Who asked for it.
+    /// Comment of the line, which names the person who requested the rule.
     pub asked_by: String,
 }
 
-/// A whole rule file.
+/// Parsed rule file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct File {
-    /// Lines with rules, in order.
+    /// Lines with rules, in the order of the file.
     pub entries: Vec<Entry>,
 }
 
 impl File {
-    /// Parses a file and checks it as a whole.
+    /// Parses a file and checks its lines against each other.
     ///
     /// # Errors
-    /// All findings, in order.
+    /// All findings, in the order of the file.
     pub fn parse(text: &str) -> Result<Self, Vec<finding::Finding>> {
         let mut findings = Vec::new();
         let mut entries = Vec::new();
@@ -64,7 +68,8 @@
         if findings.is_empty() { Ok(file) } else { Err(findings) }
     }
 
-    /// Faults between lines: names that no line declares, and lines that contradict each other.
+    /// Returns the faults that concern several lines: undeclared organisations, and repeated rules
+    /// that may be given only once.
     fn check(&self) -> Vec<finding::Finding> {
         let mut findings = Vec::new();
         let mut seen: BTreeMap<String, usize> = BTreeMap::new();
@@ -90,7 +95,7 @@
         findings
     }
 
-    /// Organisations, in order.
+    /// Returns the organisations, in the order of the file.
     pub fn organisations(&self) -> impl Iterator<Item = &rule::Organisation> {
         self.entries.iter().filter_map(|entry| match &entry.rule {
             Rule::Organisation(organisation) => Some(organisation),
@@ -98,12 +103,12 @@
         })
     }
 
-    /// One organisation.
+    /// Returns the organisation with a name.
     pub fn organisation(&self, name: &str) -> Option<&rule::Organisation> {
         self.organisations().find(|organisation| organisation.name == name)
     }
 
-    /// Guarantees, in order, with their lines.
+    /// Returns the guarantees with their line numbers, in the order of the file.
     pub fn guarantees(&self) -> impl Iterator<Item = (usize, &rule::Guarantee)> {
         self.entries.iter().filter_map(|entry| match &entry.rule {
             Rule::Guarantee(guarantee) => Some((entry.line, guarantee)),
@@ -111,7 +116,8 @@
         })
     }
 
-    /// Accelerators that an organisation may borrow in a region; none when not limited.
+    /// Returns the number of accelerators that an organisation may borrow in a region; none if
+    /// there is no limit.
     pub fn quota(&self, organisation: &str) -> Option<u32> {
         self.entries.iter().find_map(|entry| match &entry.rule {
             Rule::Quota(quota) if quota.organisation == organisation => Some(quota.accelerators),
@@ -119,7 +125,7 @@
         })
     }
 
-    /// Jobs that an organisation may have waiting in a region.
+    /// Returns the number of waiting jobs that an organisation may have in a region.
     pub fn queue(&self, organisation: &str) -> u32 {
         let limit = self.entries.iter().find_map(|entry| match &entry.rule {
             Rule::Admission(admission) if admission.organisation == organisation => {
@@ -130,7 +136,7 @@
         limit.unwrap_or(DEFAULT_QUEUE)
     }
 
-    /// Attempts of one job of an organisation.
+    /// Returns the number of attempts that each job of an organisation may have.
     pub fn attempts(&self, organisation: &str) -> u32 {
         let limit = self.entries.iter().find_map(|entry| match &entry.rule {
             Rule::Retries(retries) if retries.organisation == organisation => {
@@ -141,7 +147,7 @@
         limit.unwrap_or(DEFAULT_ATTEMPTS)
     }
 
-    /// How reclaim treats borrowers.
+    /// Returns how reclaim stops borrowers.
     pub fn reclaim(&self) -> rule::Reclaim {
         let reclaim = self.entries.iter().find_map(|entry| match &entry.rule {
             Rule::Reclaim(reclaim) => Some(reclaim.clone()),
@@ -150,7 +156,7 @@
         reclaim.unwrap_or(rule::Reclaim { grace: DEFAULT_GRACE, order: rule::Order::Youngest })
     }
 
-    /// What placement prefers.
+    /// Returns the weights of the goals of placement.
     pub fn balance(&self) -> rule::Balance {
         let balance = self.entries.iter().find_map(|entry| match &entry.rule {
             Rule::Balance(balance) => Some(balance.clone()),
@@ -159,7 +165,7 @@
         balance.unwrap_or(rule::Balance { completion: 50, fragmentation: 50 })
     }
 
-    /// Whether a worker gets no new work.
+    /// Whether a worker, its rack or its zone is drained, so that the worker gets no new work.
     pub fn is_drained(&self, worker: &str, rack: &str, zone: &str) -> bool {
         self.entries.iter().any(|entry| match &entry.rule {
             Rule::Drain(rule::Drain::Worker(name)) => name == worker,
@@ -170,6 +176,7 @@
     }
 }
 
+/// Returns the organisation that a rule refers to but does not declare.
 fn organisation_of(rule: &Rule) -> Option<&id::Organisation> {
     match rule {
         Rule::Guarantee(guarantee) => Some(&guarantee.organisation),
@@ -180,6 +187,7 @@
     }
 }
 
+/// Returns the text that identifies a rule which may be given only once.
 fn unique_key(rule: &Rule) -> Option<String> {
     match rule {
         Rule::Organisation(organisation) => Some(format!("organisation `{}`", organisation.name)),
@@ -203,7 +211,7 @@
         line.fault(line.end(), message);
     }
     let rule = parse_rule(&mut line);
-    // Words behind a kind that is not known can't be judged.
+    // The words after an unknown kind of rule can't be checked.
     let findings = if rule.is_some() { line.finish() } else { line.findings };
     let asked_by = comment.to_owned();
     let entry = rule.map(|rule| Entry { line: number, rule, asked_by });
@@ -253,9 +261,11 @@
     Some(rule)
 }
 
+/// Words for the order in which reclaim stops borrowers.
 const ORDERS: [(&str, rule::Order); 2] =
     [("youngest", rule::Order::Youngest), ("smallest", rule::Order::Smallest)];
 
+/// Words for the adjacency of a guarantee's tasks.
 const ADJACENCIES: [(&str, Adjacency); 3] =
     [("worker", Adjacency::Worker), ("rack", Adjacency::Rack), ("zone", Adjacency::Zone)];
 
--- a/crates/rules/src/finding.rs
+++ b/crates/rules/src/finding.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a rule file, and where.
+//! Faults that the check of a rule file reports.
 
 use std::fmt;
 
 /// One fault of a rule file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Line in the file, from 1.
+    /// Line of the file, counted from 1.
     pub line: usize,
-    /// Column in the line, from 1.
+    /// Column of the line in bytes, counted from 1.
     pub column: usize,
-    /// What is wrong and what is allowed.
+    /// Description of the fault and of the allowed values.
     pub message: String,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Findings as one text, a line each.
+/// Formats findings as text, one per line.
 pub fn report(findings: &[Finding]) -> String {
     findings.iter().map(|finding| format!("{finding}\n")).collect()
 }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' rule file: plain text, one rule a line, each line ending in a comment that
-//! names who asked for it.
+//! Parser of the operators' rule file: plain text with one rule per line, each followed by a
+//! comment that names the person who requested the rule.
 
 pub mod diff;
 pub mod file;
--- a/crates/rules/src/line.rs
+++ b/crates/rules/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of a rule file, split into words with their columns.
+//! Reader of one line of a rule file, which is split into words with their columns.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,12 +6,14 @@
 
 use crate::finding;
 
+/// Word of a line.
 struct Word<'a> {
+    /// Column in bytes, counted from 1.
     column: usize,
     text: &'a str,
 }
 
-/// Reader of one line; faults are collected.
+/// Reader of one line, which collects the findings.
 pub(crate) struct Line<'a> {
     number: usize,
     end: usize,
@@ -36,13 +38,13 @@
         let base = text.as_ptr() as usize;
         for token in text.split_whitespace() {
             let column = token.as_ptr() as usize - base + 1;
-            line.token(column, token);
+            line.add_token(column, token);
         }
         line.words.reverse();
         line
     }
 
-    fn token(&mut self, column: usize, token: &'a str) {
+    fn add_token(&mut self, column: usize, token: &'a str) {
         let Some((key, value)) = token.split_once('=') else {
             self.words.push(Word { column, text: token });
             return;
@@ -57,7 +59,7 @@
         self.findings.push(finding::Finding { line: self.number, column, message });
     }
 
-    /// The next bare word, with its column.
+    /// Returns the next bare word with its column, or records that `what` is missing.
     pub(crate) fn word(&mut self, what: &str) -> Option<(usize, &'a str)> {
         let word = self.words.pop();
         if word.is_none() {
@@ -66,7 +68,7 @@
         word.map(|word| (word.column, word.text))
     }
 
-    /// The next bare word as a name.
+    /// Reads the next bare word as a name.
     pub(crate) fn name(&mut self, what: &str) -> String {
         let Some((column, text)) = self.word(what) else { return String::new() };
         self.checked_name(column, text)
@@ -80,7 +82,7 @@
         text.to_owned()
     }
 
-    /// A name behind a key, if the key is there.
+    /// Reads the value of an optional key as a name.
     pub(crate) fn named(&mut self, key: &'static str) -> Option<String> {
         self.known.push(key);
         let word = self.values.remove(key)?;
@@ -97,7 +99,7 @@
         self.known.push(key);
         let Some(word) = self.values.remove(key) else {
             if default.is_none() {
-                self.fault(self.end, format!("`{key}=` is missing; give {allowed}"));
+                self.fault(self.end, format!("`{key}=` is missing; must be {allowed}"));
             }
             return default;
         };
@@ -108,28 +110,27 @@
         value.or(default)
     }
 
-    /// A whole number from `least` to `most`.
+    /// Reads the value of a key as a whole number from `min` to `max`.
     pub(crate) fn count(
         &mut self,
         key: &'static str,
         default: Option<u32>,
-        least: u32,
-        most: u32,
+        min: u32,
+        max: u32,
     ) -> u32 {
-        let allowed = format!("a whole number from {least} to {most}");
-        let parse = |text: &str| text.parse().ok().filter(|n| (least..=most).contains(n));
-        self.value(key, default, &allowed, parse).unwrap_or(least)
+        let allowed = format!("a whole number from {min} to {max}");
+        let parse = |text: &str| text.parse().ok().filter(|n| (min..=max).contains(n));
+        self.value(key, default, &allowed, parse).unwrap_or(min)
     }
 
-    /// A duration with its unit.
-    pub(crate) fn duration(&mut self, key: &'static str, most: Duration) -> Duration {
-        let allowed =
-            format!("a duration with its unit up to {}", humantime::format_duration(most));
-        let parse = |text: &str| humantime::parse_duration(text).ok().filter(|d| *d <= most);
+    /// Reads the value of a key as a duration with a unit, up to `max`.
+    pub(crate) fn duration(&mut self, key: &'static str, max: Duration) -> Duration {
+        let allowed = format!("a duration with a unit, up to {}", humantime::format_duration(max));
+        let parse = |text: &str| humantime::parse_duration(text).ok().filter(|d| *d <= max);
         self.value(key, None, &allowed, parse).unwrap_or_default()
     }
 
-    /// One of several words, mapped to values.
+    /// Reads the value of a key as one of several words, each of which stands for a value.
     pub(crate) fn choice<T: Copy>(
         &mut self,
         key: &'static str,
@@ -143,7 +144,7 @@
         self.value(key, default, &allowed, parse).unwrap_or(fallback)
     }
 
-    /// Reports words and keys that no one asked for.
+    /// Records a finding for each word and key that has not been read, and returns all findings.
     pub(crate) fn finish(mut self) -> Vec<finding::Finding> {
         for word in std::mem::take(&mut self.words) {
             self.fault(word.column, format!("`{}` is not expected here", word.text));
@@ -156,7 +157,7 @@
         self.findings
     }
 
-    /// Column after the last word.
+    /// Returns the column after the last word.
     pub(crate) fn end(&self) -> usize {
         self.end
     }
--- a/crates/rules/src/rule.rs
+++ b/crates/rules/src/rule.rs
@@ -1,59 +1,59 @@
-//! The kinds of rule.
+//! Kinds of rules.
 
 use std::time::Duration;
 
 use sapphire_wire::{Adjacency, id};
 
-/// One rule.
+/// Rule of one line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rule {
-    /// An organisation exists.
+    /// Declares an organisation.
     Organisation(Organisation),
-    /// A shape that an organisation can always have.
+    /// Guarantees resources to an organisation.
     Guarantee(Guarantee),
-    /// How much an organisation may borrow beyond its guarantees.
+    /// Limits what an organisation may borrow beyond its guarantees.
     Quota(Quota),
-    /// How much an organisation may have waiting.
+    /// Limits the waiting jobs of an organisation.
     Admission(Admission),
-    /// How reclaim treats borrowers.
+    /// Sets how reclaim stops borrowers.
     Reclaim(Reclaim),
-    /// What placement prefers.
+    /// Weighs the goals of placement.
     Balance(Balance),
-    /// Part of the fleet that gets no new work.
+    /// Drains a part of the fleet.
     Drain(Drain),
-    /// How often a job is tried.
+    /// Limits the attempts of each job of an organisation.
     Retries(Retries),
 }
 
-/// An organisation exists.
+/// Declaration of an organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: id::Organisation,
-    /// Its share of what is not guaranteed, relative to the others' weights.
+    /// Share of the resources that are not guaranteed, relative to the weights of the others.
     pub weight: u32,
-    /// Higher goes first among waiting jobs.
+    /// Priority of its waiting jobs; jobs of a higher priority are placed first.
     pub priority: u32,
 }
 
-/// A shape that an organisation can always have.
+/// Resources that an organisation can have at any time: a number of gangs of a given shape.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Guarantee {
-    /// Whose it is.
+    /// Organisation that the rule is for.
     pub organisation: id::Organisation,
     /// Accelerators of one task.
     pub accelerators: u32,
-    /// Tasks of the gang.
+    /// Number of tasks of one gang.
     pub tasks: u32,
-    /// How close the tasks are.
+    /// How close to each other the tasks of one gang are placed.
     pub adjacency: Adjacency,
-    /// How many such gangs.
+    /// Number of such gangs.
     pub count: u32,
-    /// Where.
+    /// Region or zone that provides the resources.
     pub place: Place,
 }
 
-/// Where a guarantee is held.
+/// Place of the resources of a guarantee.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Place {
     /// In a region.
@@ -62,52 +62,53 @@
     Zone(String),
 }
 
-/// How much an organisation may borrow beyond its guarantees.
+/// Limit of what an organisation may borrow beyond its guarantees.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quota {
-    /// Whose it is.
+    /// Organisation that the rule is for.
     pub organisation: id::Organisation,
-    /// Accelerators of all its borrowing gangs together, in one region.
+    /// Largest number of accelerators that all borrowing gangs of the organisation have together in
+    /// one region.
     pub accelerators: u32,
 }
 
-/// How much an organisation may have waiting.
+/// Limit of the waiting jobs of an organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
-    /// Whose it is.
+    /// Organisation that the rule is for.
     pub organisation: id::Organisation,
-    /// Jobs waiting in one region.
+    /// Largest number of jobs waiting in one region.
     pub queue: u32,
 }
 
-/// Which borrowers reclaim stops first.
+/// Order in which reclaim stops borrowers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Those that ran for the shortest time.
+    /// First those that have run for the shortest time.
     Youngest,
-    /// Those with the fewest accelerators.
+    /// First those with the fewest accelerators.
     Smallest,
 }
 
-/// How reclaim treats borrowers.
+/// How reclaim stops gangs that run on borrowed resources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reclaim {
-    /// Time for a checkpoint before a borrower is stopped.
+    /// Time that a borrower has for a checkpoint before it is stopped.
     pub grace: Duration,
-    /// Which borrowers go first.
+    /// Order in which borrowers are stopped.
     pub order: Order,
 }
 
-/// What placement prefers.
+/// Weights of the goals of placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Balance {
-    /// Weight of short completion times, in per cent.
+    /// Weight of short completion times, in percent.
     pub completion: u32,
-    /// Weight of low fragmentation, in per cent.
+    /// Weight of low fragmentation, in percent.
     pub fragmentation: u32,
 }
 
-/// Part of the fleet that gets no new work.
+/// Part of the fleet that is drained: it gets no new work.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Drain {
     /// One worker.
@@ -118,11 +119,11 @@
     Zone(String),
 }
 
-/// How often a job is tried.
+/// Limit of the attempts of each job of an organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Retries {
-    /// Whose jobs.
+    /// Organisation whose jobs are meant.
     pub organisation: id::Organisation,
-    /// Attempts of one job, the first included.
+    /// Largest number of attempts of one job, including the first.
     pub attempts: u32,
 }
--- a/crates/rules/tests/fuzz/mod.rs
+++ b/crates/rules/tests/fuzz/mod.rs
@@ -1,4 +1,4 @@
-//! Rule files with anything in them.
+//! Property tests of rule files: valid and arbitrary lines in any order.
 
 use std::env;
 
@@ -12,15 +12,17 @@
 };
 use sapphire_rules::{diff, file::File, rule::Rule};
 
-/// The same cases each time, or as many others as `PROPTEST_CASES` says.
+/// Runs the same cases each time, or as many random ones as `PROPTEST_CASES` says.
 fn cases(count: u32) -> ProptestConfig {
-    let kept = FileFailurePersistence::WithSource("proptest-regressions");
-    let by_hand =
-        ProptestConfig { failure_persistence: Some(Box::new(kept)), ..ProptestConfig::default() };
+    let persistence = FileFailurePersistence::WithSource("proptest-regressions");
+    let random = ProptestConfig {
+        failure_persistence: Some(Box::new(persistence)),
+        ..ProptestConfig::default()
+    };
     if env::var_os("PROPTEST_CASES").is_some() {
-        return by_hand;
+        return random;
     }
-    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..by_hand }
+    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..random }
 }
 
 const GOOD: [&str; 9] = [
@@ -35,7 +37,7 @@
     "# a comment",
 ];
 
-/// A line of words, some of them a rule's.
+/// A valid line, a line of valid and arbitrary words, or any text.
 fn lines() -> impl Strategy<Value = String> {
     let word = prop_oneof![
         4 => sample::select(GOOD.join(" ").split(' ').map(str::to_owned).collect::<Vec<_>>()),
@@ -99,7 +101,7 @@
         );
         let file = File::parse(&text).expect("the file is good");
         prop_assert_eq!(&file.entries[0].asked_by, &asker);
-        let Rule::Organisation(read) = &file.entries[0].rule else { panic!("it is the first") };
+        let Rule::Organisation(read) = &file.entries[0].rule else { panic!("not an organisation") };
         prop_assert_eq!((&read.name, read.weight, read.priority), (&name, weight, priority));
         prop_assert_eq!(file.reclaim().grace.as_secs(), seconds);
     }
--- a/crates/rules/tests/rules.rs
+++ b/crates/rules/tests/rules.rs
@@ -1,4 +1,4 @@
-//! A rule file is checked whole: every finding has its line and column.
+//! Tests that a rule file is checked completely and that each finding has its line and column.
 
 use std::{fs, path};
 
@@ -48,7 +48,8 @@
     let examples = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for member in ["atlantica", "pastizal"] {
         let text = fs::read_to_string(examples.join(member).join("rules.txt"));
-        let rules = file::File::parse(&text.expect("it can be read")).expect("no findings");
+        let rules = file::File::parse(&text.expect("the file can be read"))
+            .expect("the file has no faults");
         assert_eq!(rules.organisations().count(), 4, "{member}");
     }
 }
