--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -10,7 +10,7 @@
 const MAX_BODY_BYTES: u64 = 8 << 20;
 /// Default limit of callers' requests that an entry has outstanding.
 const DEFAULT_REQUESTS: u32 = 1_000;
-/// Default limit of jobs that a cell stores.
+/// Default limit of jobs in a cell that have not ended.
 const DEFAULT_JOBS: u32 = 2_000;
 
 /// Parses and checks the settings file of an entry.
