--- a/crates/wire/src/envelope.rs
+++ b/crates/wire/src/envelope.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes.
+//! Encoding and decoding of frames.
 
 use std::fmt;
 
@@ -6,24 +6,24 @@
 use prost::Message as _;
 use sapphire_schema::wire::{Frame, Peer, frame};
 
-/// Largest frame that is sent or accepted, in bytes.
+/// Largest size of a frame that is accepted, in bytes.
 pub const MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why bytes are not a frame.
+/// Reason why bytes can't be decoded as a frame.
 #[derive(Debug, PartialEq)]
 pub enum Error {
-    /// More than [`MAX_BYTES`].
+    /// The frame is larger than [`MAX_BYTES`]; its size in bytes.
     TooLarge(usize),
-    /// Not an encoding of a frame.
+    /// The bytes are not an encoded frame; the decoder's message.
     Malformed(String),
-    /// A frame without a sender or a body.
+    /// The frame has no sender or no body.
     Incomplete,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::TooLarge(bytes) => write!(f, "frame of {bytes} bytes is above {MAX_BYTES}"),
+            Error::TooLarge(bytes) => write!(f, "frame of {bytes} bytes exceeds {MAX_BYTES} bytes"),
             Error::Malformed(detail) => write!(f, "frame is malformed: {detail}"),
             Error::Incomplete => write!(f, "frame has no sender or no body"),
         }
@@ -32,19 +32,19 @@
 
 impl std::error::Error for Error {}
 
-/// A received frame, known to be complete.
+/// Frame that has a sender and a body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
     /// Sender.
     pub from: Peer,
-    /// Generation that the sender believes the receiver has; 0 when it does not know.
+    /// Generation of the receiver, as far as the sender knows it; 0 if unknown.
     pub to_generation: u64,
     /// Message.
     pub body: frame::Body,
 }
 
 impl Envelope {
-    /// Encodes the envelope.
+    /// Encodes the envelope as a frame.
     pub fn encode(self) -> Vec<u8> {
         let frame = Frame {
             from: Some(self.from),
@@ -54,10 +54,10 @@
         frame.encode_to_vec()
     }
 
-    /// Decodes an envelope.
+    /// Decodes a frame.
     ///
     /// # Errors
-    /// When the bytes are too many, are not a frame, or lack the sender or the body.
+    /// If the frame is too large, malformed, or has no sender or no body.
     pub fn decode(bytes: Bytes) -> Result<Self, Error> {
         if bytes.len() > MAX_BYTES {
             return Err(Error::TooLarge(bytes.len()));
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Codec and small helpers for the messages between processes.
+//! Messages between processes: encoding, decoding and helpers for their parts.
 
 pub mod envelope;
 pub mod epoch;
--- a/crates/wire/src/resource.rs
+++ b/crates/wire/src/resource.rs
@@ -1,20 +1,20 @@
-//! Amounts of what a worker has.
+//! Amounts of a worker's resources.
 
 use sapphire_schema::wire::{Shape, Worker};
 
-/// Accelerators, processors and memory, of a worker or of a gang's tasks on it.
+/// Amount of accelerators, processors and memory, of a worker or of a gang's tasks on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Amount {
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Processor cores.
+    /// Number of processor cores.
     pub processors: u32,
-    /// Memory in bytes.
+    /// Memory, in bytes.
     pub memory_bytes: u64,
 }
 
 impl Amount {
-    /// All that a worker has.
+    /// Total resources of a worker.
     pub fn of_worker(worker: &Worker) -> Self {
         Amount {
             accelerators: worker.accelerators,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// What some tasks of a shape need together.
+    /// Resources that a number of tasks of the same shape need together.
     pub fn of_tasks(shape: &Shape, tasks: u32) -> Self {
         Amount {
             accelerators: shape.accelerators.saturating_mul(tasks),
@@ -39,7 +39,7 @@
             && self.memory_bytes >= other.memory_bytes
     }
 
-    /// Sum.
+    /// Returns the sum; saturates at the largest number.
     pub fn plus(&self, other: &Amount) -> Amount {
         Amount {
             accelerators: self.accelerators.saturating_add(other.accelerators),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Difference, zero where `other` is larger.
+    /// Returns the difference; zero for each resource of which `other` has more.
     pub fn minus(&self, other: &Amount) -> Amount {
         Amount {
             accelerators: self.accelerators.saturating_sub(other.accelerators),
--- a/crates/wire/tests/fuzz/mod.rs
+++ b/crates/wire/tests/fuzz/mod.rs
@@ -1,4 +1,5 @@
-//! Messages between processes, and records in the store, with anything in them.
+//! Property tests of messages between processes and of records in the store: valid, mutated and
+//! arbitrary bytes.
 
 use std::env;
 
@@ -13,26 +14,28 @@
 use sapphire_schema::jobs;
 use sapphire_wire::{Beat, Epoch, envelope::Envelope, epoch, frame, peer};
 
-/// The same cases each time, or as many others as `PROPTEST_CASES` says.
+/// Runs the same cases each time, or as many random ones as `PROPTEST_CASES` says.
 fn cases(count: u32) -> ProptestConfig {
-    let kept = FileFailurePersistence::WithSource("proptest-regressions");
-    let by_hand =
-        ProptestConfig { failure_persistence: Some(Box::new(kept)), ..ProptestConfig::default() };
+    let persistence = FileFailurePersistence::WithSource("proptest-regressions");
+    let random = ProptestConfig {
+        failure_persistence: Some(Box::new(persistence)),
+        ..ProptestConfig::default()
+    };
     if env::var_os("PROPTEST_CASES").is_some() {
-        return by_hand;
+        return random;
     }
-    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..by_hand }
+    ProptestConfig { cases: count, rng_seed: RngSeed::Fixed(1), ..random }
 }
 
 type Checked = Result<(), TestCaseError>;
 
-/// Longest text of an error.
+/// Upper bound of the length of an error text, in bytes.
 const MAX_ERROR: usize = 400;
 
 fn step() -> impl Strategy<Value = jobs::Step> {
     (any::<[u32; 4]>(), any::<u64>(), collection::vec(any::<u32>(), 0..4), ".{0,8}", any::<bool>())
         .prop_map(
-            |([tasks, millicores, accelerators, per_worker], estimate_ms, after, text, is)| {
+            |([tasks, millicores, accelerators, per_worker], estimate_ms, after, text, gang)| {
                 let room = jobs::Room { millicores, memory_mib: estimate_ms, accelerators };
                 jobs::Step {
                     tasks,
@@ -42,7 +45,7 @@
                     per_worker,
                     label: text.clone(),
                     near_rack: text,
-                    is_gang: is,
+                    is_gang: gang,
                     ..jobs::Step::default()
                 }
             },
@@ -102,10 +105,10 @@
     })
 }
 
-/// Bytes of a good message with one mutation, or any bytes.
-fn bytes(good: impl Strategy<Value = Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
+/// Bytes of a valid message with one mutation, or arbitrary bytes.
+fn bytes(valid: impl Strategy<Value = Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let mutated =
-        (good, any::<sample::Index>(), any::<u8>(), 0..6).prop_map(|(mut bytes, at, new, how)| {
+        (valid, any::<sample::Index>(), any::<u8>(), 0..6).prop_map(|(mut bytes, at, new, how)| {
             if bytes.is_empty() {
                 return bytes;
             }
@@ -116,7 +119,7 @@
                 2 => bytes.insert(at, new),
                 3 => drop(bytes.remove(at)),
                 4 => bytes.extend(bytes.clone()),
-                // A length far above what follows.
+                // A length far beyond the end of the bytes.
                 _ => drop(bytes.splice(at.., [new | 2, 0xff, 0xff, 0xff, 0xff, 0x0f])),
             }
             bytes
@@ -124,13 +127,13 @@
     prop_oneof![1 => collection::vec(any::<u8>(), 0..200), 3 => mutated]
 }
 
-/// It is read or refused with a reason, and what is read holds no more than was sent and is read
-/// back.
+/// Checks that the bytes are refused with a reason, or decoded to a message that is not much larger
+/// than the bytes and that survives encoding and decoding.
 fn check<M: Message + Default + PartialEq + std::fmt::Debug>(bytes: &[u8]) -> Checked {
     match M::decode(bytes) {
         Ok(message) => {
             let again = message.encode_to_vec();
-            // A list of numbers that was sent one by one is written packed.
+            // A list whose numbers were sent one by one is encoded as one packed field.
             prop_assert!(again.len() <= 2 * bytes.len());
             prop_assert_eq!(M::decode(&again[..]), Ok(message));
         }
@@ -139,7 +142,7 @@
     Ok(())
 }
 
-/// Whole messages as deep as the bytes allow would end the process.
+/// Guards against messages whose deep nesting overflows the stack and crashes the process.
 #[test]
 fn groups_of_deep_nesting_are_refused() {
     let bytes = vec![0x0b; 100_000];
@@ -189,7 +192,7 @@
     }
 
     #[test]
-    fn messages_are_read_back(envelope in envelope(), job in job(), poll in poll()) {
+    fn messages_survive_encoding(envelope in envelope(), job in job(), poll in poll()) {
         prop_assert_eq!(Envelope::decode(Bytes::from(envelope.clone().encode())), Ok(envelope));
         prop_assert_eq!(jobs::Job::decode(&job.encode_to_vec()[..]), Ok(job));
         prop_assert_eq!(jobs::Poll::decode(&poll.encode_to_vec()[..]), Ok(poll));
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Frames survive the codec, and bad bytes are refused with a reason.
+//! Tests that frames survive encoding and decoding, and that malformed bytes are refused with a
+//! reason.
 
 use assert_matches::assert_matches;
 use bytes::Bytes;
