--- a/crates/net/src/hub.rs
+++ b/crates/net/src/hub.rs
@@ -53,7 +53,7 @@
         request: Request,
     },
     /// A caller closed its connection before it was answered.
-    Left(CallerId),
+    Disconnected(CallerId),
     /// A call of this process has been completed or has failed.
     Answer {
         /// Call, as [`Hub::call`] returned it.
@@ -336,7 +336,7 @@
             }
             server::Step::Disconnected => {
                 if let Some(Socket::Inbound(_, caller)) = self.sockets.get(key) {
-                    self.events.push_back(Event::Left(*caller));
+                    self.events.push_back(Event::Disconnected(*caller));
                 }
                 self.close(key);
             }
--- a/crates/net/tests/hub/mod.rs
+++ b/crates/net/tests/hub/mod.rs
@@ -45,7 +45,7 @@
                     Event::Request { caller, request, .. } if request.path() != "/never" => {
                         hub.answer(caller, &Response::new(200, request.body));
                     }
-                    Event::Left(_) => disconnected += 1,
+                    Event::Disconnected(_) => disconnected += 1,
                     Event::NotAccepted { kind, .. } => panic!("not accepted: {kind}"),
                     _ => {}
                 }
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -82,7 +82,7 @@
                 self.request(cx, caller, listener, &request);
             }
             Event::Net(NetEvent::Answer { call, result }) => self.answered(cx, call, result),
-            Event::Net(NetEvent::Left(_)) => {}
+            Event::Net(NetEvent::Disconnected(_)) => {}
             Event::Net(NetEvent::NotAccepted { kind, .. }) => {
                 self.levels.info("net", &format!("a connection was not accepted: {kind}"));
             }
--- a/crates/sapphired/src/jobs_entry/mod.rs
+++ b/crates/sapphired/src/jobs_entry/mod.rs
@@ -142,7 +142,7 @@
             Event::Net(NetEvent::Request { caller, listener, request }) => {
                 self.request(now, caller, listener, request);
             }
-            Event::Net(NetEvent::Left(caller)) => {
+            Event::Net(NetEvent::Disconnected(caller)) => {
                 if let Some(served) = self.served.remove(&caller) {
                     let text = format!("request={caller} {} caller left", served.text);
                     self.levels.info("front", &text);
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -298,7 +298,7 @@
                     self.minion_request(now, caller, agent, &request);
                 }
             }
-            Event::Left(caller) => {
+            Event::Disconnected(caller) => {
                 self.watches.retain(|(other, ..)| *other != caller);
                 self.holds.retain(|hold| hold.caller != caller);
             }
