--- a/crates/agent/src/contact.rs
+++ b/crates/agent/src/contact.rs
@@ -50,7 +50,7 @@
         if let Some(contact) = self.known.get_mut(&peer.address) {
             contact.heard = now;
             contact.region = region.to_owned();
-            contact.wants_announcement |= !peer::is_same_life(&contact.peer, peer);
+            contact.wants_announcement |= !peer::is_same_process(&contact.peer, peer);
             contact.peer = peer.clone();
         }
     }
--- a/crates/entry/src/job_table.rs
+++ b/crates/entry/src/job_table.rs
@@ -151,7 +151,8 @@
         if self.is_kept(id) {
             return Some(reply);
         }
-        let is_same = |owed: &Owed| owed.reply.call == call && peer::is_same_life(&owed.to, from);
+        let is_same =
+            |owed: &Owed| owed.reply.call == call && peer::is_same_process(&owed.to, from);
         if !self.owed.iter().any(is_same) {
             self.owed.push(Owed { change: self.change_of(id), to: from.clone(), reply });
         }
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -166,7 +166,7 @@
         let Some(attempt) = self.attempts.get_mut(&reply.attempt) else { return };
         let Some(seat) = attempt.seats.get_mut(&from.name) else { return };
         let is_same_life =
-            seat.placement.agent.as_ref().is_some_and(|agent| peer::is_same_life(agent, from));
+            seat.placement.agent.as_ref().is_some_and(|agent| peer::is_same_process(agent, from));
         let state = if is_same_life { reply.state() } else { TaskState::TaskUnknown };
         if attempt.phase == Phase::Settling && state != TaskState::TaskRunning {
             seat.settled = Some(state);
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -109,7 +109,7 @@
         if known.is_some_and(|agent| agent.peer.generation > from.generation) {
             return false;
         }
-        let is_new = known.is_none_or(|agent| !peer::is_same_life(&agent.peer, from));
+        let is_new = known.is_none_or(|agent| !peer::is_same_process(&agent.peer, from));
         let in_flight = known.filter(|_| !is_new).map_or(0, |agent| agent.in_flight);
         let agent = Agent {
             peer: from.clone(),
@@ -134,7 +134,7 @@
     /// generations grow, so an older life never replaces a newer one.
     pub fn heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: &Heartbeat) -> bool {
         let Some(agent) = self.agents.get_mut(&from.name) else { return false };
-        if !peer::is_same_life(&agent.peer, from) {
+        if !peer::is_same_process(&agent.peer, from) {
             return agent.peer.generation > from.generation;
         }
         agent.heard = now;
@@ -176,7 +176,7 @@
     /// Whether this life of an agent is surely over or out of reach for long: another life has
     /// announced itself, or it is not known any more.
     pub fn is_gone(&self, peer: &Peer) -> bool {
-        self.agents.get(&peer.name).is_none_or(|agent| !peer::is_same_life(&agent.peer, peer))
+        self.agents.get(&peer.name).is_none_or(|agent| !peer::is_same_process(&agent.peer, peer))
     }
 
     /// Forgets agents that have long been silent; returns their names.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -10,6 +10,6 @@
 }
 
 /// Whether both peers are the same process, without a restart in between.
-pub fn is_same_life(left: &Peer, right: &Peer) -> bool {
+pub fn is_same_process(left: &Peer, right: &Peer) -> bool {
     left.name == right.name && left.generation == right.generation
 }
