--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -256,8 +256,8 @@
     fn key_replied(&mut self, now: Duration, sent: Duration, reply: Reply) {
         let is_unanswered = matches!(reply, Reply::Unavailable(_));
         match self.holder.reply(now, sent, reply) {
-            lease::Outcome::Same => {}
-            lease::Outcome::Taken(term) => {
+            lease::Outcome::Unchanged => {}
+            lease::Outcome::Acquired(term) => {
                 self.log(
                     MEMBER,
                     format!("planner key held region={} term={term}", self.options.region),
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -179,10 +179,10 @@
             self.leader.watched = 0;
         }
         match self.leader.holder.reply(now, sent, reply) {
-            lease::Outcome::Same => {}
+            lease::Outcome::Unchanged => {}
             // The write was under way when the process was told to end.
-            lease::Outcome::Taken(_) if self.leader.is_leaving => self.resign(),
-            lease::Outcome::Taken(term) => {
+            lease::Outcome::Acquired(_) if self.leader.is_leaving => self.resign(),
+            lease::Outcome::Acquired(term) => {
                 self.leader.vacant = None;
                 let lead = Lead {
                     name: self.options.name.clone(),
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Nothing that the caller must act on.
-    Same,
+    Unchanged,
     /// This process now holds the key, with this term.
-    Taken(Revision),
+    Acquired(Revision),
     /// The lease has expired at the store; another process may hold the key.
     Lapsed,
 }
@@ -111,14 +111,14 @@
         match (self.phase, reply) {
             (Phase::Granting { requested_at }, Reply::Leased(lease)) => {
                 self.phase = Phase::Writing { lease, requested_at };
-                Outcome::Same
+                Outcome::Unchanged
             }
             (Phase::Writing { lease, requested_at }, Reply::Written(term)) => {
                 self.acquire(lease, requested_at, term)
             }
             (Phase::Writing { lease, requested_at }, Reply::Unavailable(_)) => {
                 self.phase = Phase::Reading { lease, requested_at };
-                Outcome::Same
+                Outcome::Unchanged
             }
             (
                 Phase::Writing { lease, requested_at } | Phase::Reading { lease, requested_at },
@@ -127,16 +127,16 @@
             (Phase::Held { lease, term, keep_alive_at, .. }, Reply::Leased(_)) => {
                 self.phase =
                     Phase::Held { lease, term, expires_at: sent + self.ttl, keep_alive_at };
-                Outcome::Same
+                Outcome::Unchanged
             }
             (Phase::Held { .. }, Reply::Lapsed) => {
                 self.phase = idle;
                 Outcome::Lapsed
             }
-            (Phase::Held { .. }, _) => Outcome::Same,
+            (Phase::Held { .. }, _) => Outcome::Unchanged,
             _ => {
                 self.phase = idle;
-                Outcome::Same
+                Outcome::Unchanged
             }
         }
     }
@@ -149,7 +149,7 @@
             expires_at,
             keep_alive_at: requested_at + self.ttl / KEEP_ALIVES_PER_LEASE,
         };
-        Outcome::Taken(term)
+        Outcome::Acquired(term)
     }
 
     /// Whether the lease has expired by this process's own clock, while the store has not reported
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -67,7 +67,7 @@
     assert_matches!(holder.poll(SECOND, true), Some(Call::Grant { .. }));
     holder.reply(SECOND, SECOND, Reply::Leased(8));
     assert_matches!(holder.poll(SECOND, true), Some(Call::Put { lease: Some(8), .. }));
-    assert_eq!(holder.reply(SECOND, SECOND, Reply::Written(40)), lease::Outcome::Taken(40));
+    assert_eq!(holder.reply(SECOND, SECOND, Reply::Written(40)), lease::Outcome::Acquired(40));
     holder
 }
 
@@ -104,5 +104,5 @@
     assert_matches!(holder.poll(SECOND, true), Some(Call::Get { .. }));
     let own = Value { revision: 41, bytes: Bytes::from_static(b"e1-7") };
     let outcome = holder.reply(SECOND, SECOND, Reply::Value(own));
-    assert_eq!(outcome, lease::Outcome::Taken(41));
+    assert_eq!(outcome, lease::Outcome::Acquired(41));
 }
