--- a/crates/sapphired/src/main.rs
+++ b/crates/sapphired/src/main.rs
@@ -86,7 +86,7 @@
     match args.role {
         Role::Entry(Entry { settings, check }) => {
             let text = read(&settings)?;
-            if jobs::is_meant(&text) {
+            if jobs::is_platform_file(&text) {
                 let parsed = parse(&settings, &text, jobs::read_entry);
                 return if check { Ok(()) } else { jobs_entry::run(&parsed, &settings) };
             }
@@ -95,7 +95,7 @@
         }
         Role::Agent(Agent { settings, check }) => {
             let text = read(&settings)?;
-            if jobs::is_meant(&text) {
+            if jobs::is_platform_file(&text) {
                 let parsed = parse(&settings, &text, jobs::read_agent);
                 return if check { Ok(()) } else { jobs_agent::run(&parsed, &settings) };
             }
--- a/crates/settings/src/jobs.rs
+++ b/crates/settings/src/jobs.rs
@@ -7,7 +7,7 @@
 use crate::{finding, section, shared};
 
 /// Whether a settings file is for a process on the users' platform, as its key `platform` shows.
-pub fn is_meant(text: &str) -> bool {
+pub fn is_platform_file(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("platform:"))
 }
 
--- a/crates/settings/tests/fuzz/mod.rs
+++ b/crates/settings/tests/fuzz/mod.rs
@@ -110,7 +110,7 @@
         check_findings(&text, agent::read(&text))?;
         check_findings(&text, jobs::read_entry(&text))?;
         check_findings(&text, jobs::read_agent(&text))?;
-        let _ = jobs::is_meant(&text);
+        let _ = jobs::is_platform_file(&text);
     }
 
     #[test]
