--- a/crates/net/src/message.rs
+++ b/crates/net/src/message.rs
@@ -98,9 +98,9 @@
     pub body_bytes: usize,
     /// Time in which a request must arrive completely, from its first byte, and in which the caller
     /// must begin to read the response; a caller that reads on is given longer.
-    pub request_time: Duration,
+    pub request_timeout: Duration,
     /// Time after which a connection without a request is closed.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -110,8 +110,8 @@
             connections: 1_024,
             head_bytes: 16 << 10,
             body_bytes: 8 << 20,
-            request_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(30),
+            request_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(30),
         }
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -51,7 +51,7 @@
 
 impl Connection {
     pub(crate) fn new(stream: Stream, listener: usize, limits: Limits, now: Duration) -> Self {
-        let deadline = Some(now + limits.idle_time);
+        let deadline = Some(now + limits.idle_timeout);
         let phase = Phase::Reading;
         Connection {
             stream,
@@ -79,7 +79,7 @@
             return if self.has_ended { self.closed_by_caller() } else { Step::Wait };
         }
         if was_empty && !self.stream.input.is_empty() {
-            self.deadline = Some(now + self.limits.request_time);
+            self.deadline = Some(now + self.limits.request_timeout);
         }
         self.parse(now)
     }
@@ -128,7 +128,7 @@
         let Phase::Answering { keep_alive } = self.phase else { return Step::Wait };
         self.stream.push(&parse::write_response(response, keep_alive));
         self.phase = Phase::Writing { keep_alive };
-        self.transfer = Transfer::new(now + self.limits.request_time);
+        self.transfer = Transfer::new(now + self.limits.request_timeout);
         self.writable(now)
     }
 
@@ -145,7 +145,8 @@
             Ok(true) if keep_alive => {
                 self.phase = Phase::Reading;
                 let has_more = !self.stream.input.is_empty();
-                let time = if has_more { self.limits.request_time } else { self.limits.idle_time };
+                let time =
+                    if has_more { self.limits.request_timeout } else { self.limits.idle_timeout };
                 self.deadline = Some(now + time);
                 self.parse(now)
             }
--- a/crates/net/tests/hub/mod.rs
+++ b/crates/net/tests/hub/mod.rs
@@ -236,7 +236,7 @@
     let address = free_address();
     let limits = Limits {
         body_bytes: 2 * BODY,
-        request_time: Duration::from_millis(400),
+        request_timeout: Duration::from_millis(400),
         ..Limits::default()
     };
     let server = serve(address, limits);
@@ -375,7 +375,7 @@
 fn time_of_small_chunks(count: usize) -> Duration {
     let address = free_address();
     let mut hub = Hub::new().expect("the system gives an event queue");
-    let limits = Limits { request_time: Duration::from_secs(60), ..Limits::default() };
+    let limits = Limits { request_timeout: Duration::from_secs(60), ..Limits::default() };
     hub.listen(address, limits).expect("the port is free");
     let mut socket = TcpStream::connect(address).expect("the hub listens");
     socket.set_nodelay(true).expect("every socket has this option");
--- a/crates/sapphired/src/jobs_entry/options.rs
+++ b/crates/sapphired/src/jobs_entry/options.rs
@@ -23,8 +23,8 @@
         connections: 1_024,
         head_bytes: 16 << 10,
         body_bytes: 1 << 20,
-        request_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        request_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     }
 }
 
