--- a/crates/net/src/message.rs
+++ b/crates/net/src/message.rs
@@ -89,7 +89,7 @@
 /// Limits of a listener and its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Open connections of the listener; for a further one the connection that has stalled longest
+    /// Open connections of the listener; for a further one the connection whose timeout is due first
     /// is closed.
     pub connections: usize,
     /// Size of the request line and headers, in bytes.
