--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -4,7 +4,7 @@
 
 use prost::Message as _;
 use sapphire_jobs::{
-    Job, Progress, Schedule, State, Step, catalog::Queue, length, room::Room, task::JobId,
+    Job, Progress, Schedule, State, Step, catalog::Queue, length, resources::Resources, task::JobId,
 };
 use sapphire_plan::admit;
 use sapphire_planner::keys;
@@ -47,7 +47,7 @@
             return;
         };
         let mut organisation = String::new();
-        if !queue.is_open {
+        if !queue.is_anonymous {
             // Guards against serving a key that was taken away while this entry was cut off: the
             // proof that the configuration is the newest runs out before the key has to.
             let most = self.options.revocation.saturating_sub(options::REVOCATION_MARGIN);
@@ -314,9 +314,9 @@
 
 /// What decides whether a job is taken in.
 fn admission(job: &Job) -> admit::Job {
-    let chain = length::chain(&job.steps, length::declared);
+    let chain = length::critical_path(&job.steps, length::declared);
     admit::Job {
-        rooms: job.steps.iter().map(|step| Room::read(step.room.as_ref())).collect(),
+        task_resources: job.steps.iter().map(|step| Resources::read(step.room.as_ref())).collect(),
         priority: job.priority,
         objective: length::objective(job, chain),
     }
--- a/crates/planner/src/accept.rs
+++ b/crates/planner/src/accept.rs
@@ -1,52 +1,53 @@
-//! Jobs and cancellations as they come to the table.
+//! Adds jobs and cancellations to the job table.
 
 use std::{sync::Arc, time::Duration};
 
-use sapphire_jobs::{Job, State, Step, room::Room};
+use sapphire_jobs::{Job, State, Step, resources::Resources};
 
 use crate::{event::Moment, planner::Planner, table::Entry, worker::Cause};
 
 impl Planner {
-    /// Takes a job from an entry, which tells of what it writes at once, or again to the next
-    /// planner.
-    pub(crate) fn told(&mut self, now: Moment, job: Job) {
+    /// Accepts a job of which an entry has notified the planner. Entries send a notice as soon as
+    /// the job is written to the store, and send it again to the next planner.
+    pub(crate) fn accept_notified(&mut self, now: Moment, job: Job) {
         let is_new = job.term == self.term;
-        let handed_in = if is_new { now.steady } else { handed_in(now, &job) };
-        self.accept(now, job, handed_in);
+        let submitted = if is_new { now.steady } else { submission_time(now, &job) };
+        self.accept(now, job, submitted);
     }
 
-    /// Takes a job from its record, written by an entry in this term or an earlier one.
-    pub(crate) fn accept(&mut self, now: Moment, job: Job, handed_in: Duration) {
+    /// Accepts a job from its record, which an entry wrote in this term or an earlier one.
+    pub(crate) fn accept(&mut self, now: Moment, job: Job, submitted: Duration) {
         let id = job.id.clone();
         let is_inherited = job.term < self.term;
-        let mut entry = Entry::new(Arc::new(job), is_inherited, handed_in);
-        entry.materialise(now);
+        let mut entry = Entry::new(Arc::new(job), is_inherited, submitted);
+        entry.add_due_occurrences(now);
         if !self.table.insert(entry) {
             return;
         }
         self.needs_pass = true;
-        self.fit_job(&id);
+        self.update_step_capacity(&id);
         self.log_accepted(&id);
         if self.early_cancels.remove(&id) {
             self.cancel(now, &id);
         }
     }
 
+    /// Logs an accepted job.
     fn log_accepted(&mut self, id: &str) {
         let Some(entry) = self.table.entries.get(id) else { return };
         let steps: Vec<String> = entry.job.steps.iter().map(describe).collect();
-        let (terms, objective) = (self.terms(entry), self.objective(entry).as_millis());
+        let (settings, objective) = (self.queue_settings(entry), self.objective(entry).as_millis());
         let text = format!(
             "job={id} queue={} organisation={} priority={} objective_ms={objective} steps=[{}]",
             entry.job.queue,
             entry.job.organisation,
-            terms.priority,
+            settings.priority,
             steps.join(" ")
         );
         self.log(text);
     }
 
-    /// Takes a cancellation.
+    /// Cancels a job. A job that is not known yet is cancelled as soon as it is accepted.
     pub(crate) fn cancel(&mut self, now: Moment, id: &str) {
         let Some(entry) = self.table.entries.get_mut(id) else {
             self.early_cancels.insert(id.to_owned());
@@ -59,28 +60,33 @@
         entry.ended = Some(now.steady);
         entry.dirty = None;
         self.table.open.remove(id);
-        self.table.show(id, State::Cancelled);
+        self.table.report_state(id, State::Cancelled);
         self.stop_job(now.steady, id, &Cause::Cancelled);
         self.needs_pass = true;
         self.log(format!("job={id} cancelled"));
     }
 }
 
-/// When a job was handed in by its record, as a time of the steady clock.
+/// Converts the submission time in a job's record to a time of the steady clock.
 ///
-/// Clocks of day differ between machines and may jump, so this is for jobs of which it is not known
-/// otherwise.
-pub(crate) fn handed_in(now: Moment, job: &Job) -> Duration {
+/// Wall clocks differ between machines and may jump, so this is used only for jobs whose submission
+/// time is not known otherwise.
+pub(crate) fn submission_time(now: Moment, job: &Job) -> Duration {
     let age = now.unix.saturating_sub(Duration::from_millis(job.accepted_ms));
     now.steady.saturating_sub(age)
 }
 
-/// A step in one word: tasks, room of each, declared time and what it asks for.
+/// Describes a step in one word for the log: number of tasks, resources of each, declared run time
+/// and requirements.
 fn describe(step: &Step) -> String {
-    let room = Room::read(step.room.as_ref());
+    let resources = Resources::read(step.room.as_ref());
     let mut text = format!(
         "{}x{}m/{}MiB/{}a/{}ms",
-        step.tasks, room.millicores, room.memory_mib, room.accelerators, step.estimate_ms
+        step.tasks,
+        resources.millicores,
+        resources.memory_mib,
+        resources.accelerators,
+        step.estimate_ms
     );
     let flags = [
         (step.is_gang, "gang"),
--- a/crates/planner/src/board.rs
+++ b/crates/planner/src/pool.rs
@@ -1,4 +1,4 @@
-//! What a pass sees of one service: its workers, and the groups that may be stopped on them.
+//! The workers of one service as a pass sees them, and the groups that may be stopped on them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,14 +7,14 @@
 
 use sapphire_jobs::{
     Step,
-    room::Room,
+    resources::Resources,
     task::{GroupKey, JobId, Task, WorkerName},
 };
 use sapphire_plan::{
-    clear, evict,
+    assignment::{Demand, Place},
+    evict, preempt,
     reserve::Reservation,
-    seat::{Ask, Place},
-    suspect::Doubt,
+    suspect::Suspicion,
     wait,
 };
 
@@ -28,62 +28,65 @@
 /// Running groups that may be stopped.
 #[derive(Default)]
 struct Candidates {
-    /// What decides about each.
-    of_plan: Vec<clear::Candidate>,
-    /// Index of each one's job, and its key there.
+    /// The data by which groups are chosen.
+    candidates: Vec<preempt::Candidate>,
+    /// Index of each group's job in `jobs`, and the group's key in that job.
     keys: Vec<(usize, GroupKey)>,
     jobs: Vec<JobId>,
 }
 
-/// Workers of one service, and what may be stopped on them.
-pub(crate) struct Board {
+/// Workers of one service, with the resources that are still free in this pass, and the groups that
+/// may be stopped on them.
+pub(crate) struct Pool {
     pub(crate) places: Vec<Place>,
     pub(crate) index: BTreeMap<WorkerName, usize>,
-    /// Looked up when an urgent group first finds no room, which most passes never see.
-    pub(crate) candidates: Vec<clear::Candidate>,
-    /// Index of each candidate's job, and its key there.
+    /// Groups that may be stopped. Looked up when an urgent group first finds no free resources,
+    /// which happens in few passes.
+    pub(crate) candidates: Vec<preempt::Candidate>,
+    /// Index of each candidate's job in `jobs`, and the candidate's key in that job.
     keys: Vec<(usize, GroupKey)>,
     /// Jobs of the candidates.
     jobs: Vec<JobId>,
     has_candidates: bool,
-    /// Room that is kept for the first group that waits.
+    /// Resources reserved for groups that wait.
     pub(crate) reservations: Vec<Reservation>,
 }
 
-impl Board {
-    /// Job and key of a candidate.
+impl Pool {
+    /// Returns the job and the key of a candidate.
     pub(crate) fn candidate(&self, at: usize) -> (JobId, GroupKey) {
         let (job, key) = self.keys[at];
         (self.jobs[job].clone(), key)
     }
 
-    /// Takes room on a worker, of what is free there and else of what is kept there.
-    pub(crate) fn take_room(&mut self, at: usize, room: Room) {
+    /// Allocates resources of a worker: its free ones first, then those that are reserved there.
+    pub(crate) fn allocate(&mut self, at: usize, resources: Resources) {
         let place = &mut self.places[at];
-        let mut of_kept = room.minus(place.free);
-        place.free = place.free.minus(room);
+        let mut from_reserved = resources.minus(place.free);
+        place.free = place.free.minus(resources);
         for reservation in &mut self.reservations {
-            of_kept = reservation.give(at, of_kept);
+            from_reserved = reservation.give(at, from_reserved);
         }
     }
 
-    /// Places as they are for work that takes so long, with the room that is kept until later;
-    /// nothing when none is.
+    /// Returns the places as seen by work that runs for `time`: with the reserved resources that
+    /// are needed only later. Returns `None` if nothing is reserved beyond that time.
     pub(crate) fn open(&self, time: Duration) -> Option<Vec<Place>> {
-        let mut open = self.reservations.iter().filter(|kept| kept.is_open(time)).peekable();
+        let mut open =
+            self.reservations.iter().filter(|reservation| reservation.is_open(time)).peekable();
         open.peek()?;
         let mut places = self.places.clone();
-        open.for_each(|kept| kept.open(&mut places));
+        open.for_each(|reservation| reservation.open(&mut places));
         Some(places)
     }
 
-    /// Keeps room for a group that waits for it to be freed.
-    pub(crate) fn take_claim(&mut self, claim: &Claim, ask: &Ask) {
-        for (name, tasks) in &claim.seats {
+    /// Deducts the resources claimed by a group that waits for them to be released.
+    pub(crate) fn apply_claim(&mut self, claim: &Claim, demand: &Demand) {
+        for (name, tasks) in &claim.assignments {
             if let Some(at) = self.index.get(name) {
                 let place = &mut self.places[*at];
-                let claimed = ask.room.times((*tasks).into());
-                place.owed = place.owed.plus(claimed.minus(place.free));
+                let claimed = demand.resources.times((*tasks).into());
+                place.promised = place.promised.plus(claimed.minus(place.free));
                 place.free = place.free.minus(claimed);
             }
         }
@@ -91,15 +94,16 @@
 }
 
 impl Planner {
-    pub(crate) fn board(&self, now: Moment, service: &str) -> Board {
+    /// Returns the workers of a service that may be given tasks now.
+    pub(crate) fn pool(&self, now: Moment, service: &str) -> Pool {
         let mut places = Vec::new();
         let mut index = BTreeMap::new();
         for (name, worker) in &self.workers {
             let Some(minion) = &worker.incarnation else { continue };
-            let doubt = match self.doubt(name, now.steady) {
-                Doubt::None => 0,
-                Doubt::Last => 1,
-                Doubt::Closed => continue,
+            let suspicion = match self.suspicion(name, now.steady) {
+                Suspicion::None => 0,
+                Suspicion::LastChoice => 1,
+                Suspicion::Excluded => continue,
             };
             let is_recorded = self.startup.is_recorded(name);
             if minion.service != service || !worker.is_open(now.steady) || !is_recorded {
@@ -111,12 +115,12 @@
                 rack: minion.rack.as_str().into(),
                 labels: minion.labels.as_slice().into(),
                 free: worker.capacity().minus(worker.used()),
-                owed: Room::default(),
+                promised: Resources::default(),
                 capacity: worker.capacity(),
-                doubt,
+                suspicion,
             });
         }
-        Board {
+        Pool {
             places,
             index,
             candidates: Vec::new(),
@@ -127,25 +131,30 @@
         }
     }
 
-    fn doubt(&self, name: &str, now: Duration) -> Doubt {
-        if self.options.policy.doubt_workers { self.suspects.doubt(name, now) } else { Doubt::None }
+    /// Returns how much a worker is to be avoided.
+    fn suspicion(&self, name: &str, now: Duration) -> Suspicion {
+        if self.options.policy.doubt_workers {
+            self.suspects.suspicion(name, now)
+        } else {
+            Suspicion::None
+        }
     }
 
-    /// Looks up what may be stopped on a board's workers, once.
+    /// Looks up the groups that may be stopped on a pool's workers, once per pool.
     pub(crate) fn look_up_candidates(
         &self,
         now: Moment,
-        board: &mut Board,
+        pool: &mut Pool,
         guaranteed: &BTreeSet<JobId>,
     ) {
-        if !board.has_candidates {
-            let found = self.candidates(now, &board.index, guaranteed);
-            (board.candidates, board.keys, board.jobs) = (found.of_plan, found.keys, found.jobs);
-            board.has_candidates = true;
+        if !pool.has_candidates {
+            let found = self.candidates(now, &pool.index, guaranteed);
+            (pool.candidates, pool.keys, pool.jobs) = (found.candidates, found.keys, found.jobs);
+            pool.has_candidates = true;
         }
     }
 
-    /// Running groups that may be stopped for more urgent ones.
+    /// Returns the running groups that may be stopped for more urgent ones.
     fn candidates(
         &self,
         now: Moment,
@@ -160,7 +169,7 @@
             }
             let job = found.jobs.len();
             found.jobs.push(id.clone());
-            let priority = self.terms(entry).priority;
+            let priority = self.queue_settings(entry).priority;
             let objective = self.objective(entry);
             let is_guaranteed = guaranteed.contains(id);
             for (key, group) in &entry.groups {
@@ -169,16 +178,19 @@
                 if step.is_long_running {
                     continue;
                 }
-                let room = Room::read(step.room.as_ref());
-                let seats = active.left.values().filter_map(|name| Some((*index.get(name)?, room)));
+                let resources = Resources::read(step.room.as_ref());
+                let released = active
+                    .unfinished
+                    .values()
+                    .filter_map(|name| Some((*index.get(name)?, resources)));
                 let remaining = self.remaining_run(now, entry, key, active);
                 let end = Self::age(entry, now).saturating_add(remaining);
                 let lateness = self.lateness(priority, objective.saturating_sub(end));
                 let cost = self.stop_cost(now, step, active) + lateness / running as f64;
-                let victim = evict::Victim { cost, seats: seats.collect() };
+                let victim = evict::Victim { cost, released: released.collect() };
                 let is_stopping = active.is_stopping;
                 found.keys.push((job, *key));
-                found.of_plan.push(clear::Candidate {
+                found.candidates.push(preempt::Candidate {
                     priority,
                     is_guaranteed,
                     is_stopping,
@@ -190,23 +202,23 @@
         found
     }
 
-    /// What stopping a group loses, in processor seconds.
+    /// Returns the work that is lost if a group is stopped, in processor seconds.
     fn stop_cost(&self, now: Moment, step: &Step, active: &Active) -> f64 {
         if active.is_stopping {
             return 0.0;
         }
-        let ran = now.steady.saturating_sub(active.began.unwrap_or(active.since));
-        let cores = Room::read(step.room.as_ref()).weight() * active.left.len() as f64;
-        clear::loss(cores, ran, step.checkpoints)
+        let ran = now.steady.saturating_sub(active.began.unwrap_or(active.ordered_at));
+        let cores = Resources::read(step.room.as_ref()).weight() * active.unfinished.len() as f64;
+        preempt::loss(cores, ran, step.checkpoints)
     }
 
-    /// What it costs a job's caller that one of its groups is stopped, beside the work lost.
-    /// `slack` is the time by which the job would be early if it went on.
+    /// Returns the cost to a job's caller of stopping one of its groups, besides the lost work.
+    /// `slack` is the time by which the job would end before its objective if the group went on.
     fn lateness(&self, priority: u32, slack: Duration) -> f64 {
         if self.options.policy.weigh_lateness { wait::stop_lateness(priority, slack) } else { 0.0 }
     }
 
-    /// How much longer a group's run will take.
+    /// Returns how much longer a group's run will take.
     fn remaining_run(
         &self,
         now: Moment,
@@ -214,19 +226,22 @@
         key: &GroupKey,
         active: &Active,
     ) -> Duration {
-        let own = entry.groups.get(key).and_then(Group::known);
-        let expected = own.map_or_else(|| self.expect(entry, key.step), |shown| shown.whole);
+        let own = entry.groups.get(key).and_then(Group::reliable_observation);
+        let expected = own.map_or_else(
+            || self.expected_run_time(entry, key.step),
+            |observation| observation.run_time,
+        );
         let mut task = Task {
             job: entry.job.id.clone(),
             occurrence: key.occurrence,
             step: key.step,
             index: key.index,
         };
-        let of = |(index, name): (&u32, &WorkerName)| {
+        let remaining = |(index, name): (&u32, &WorkerName)| {
             task.index = *index;
             let run = self.workers.get(name)?.runs.get(&task)?;
             Some(run.remaining(expected, now.steady))
         };
-        active.left.iter().filter_map(of).max().unwrap_or(Duration::MAX)
+        active.unfinished.iter().filter_map(remaining).max().unwrap_or(Duration::MAX)
     }
 }
--- a/crates/planner/src/watchdog.rs
+++ b/crates/planner/src/watchdog.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still or are far slower than they should be.
+//! Detects runs that are stalled or far too slow, and moves them to other workers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,100 +10,105 @@
     task::{GroupKey, Task, WorkerName},
 };
 use sapphire_plan::{
-    estimate::{Estimate, Seen},
+    estimate::{Estimate, Sample},
     pace::{self, Verdict},
 };
 
 use crate::{
     event::Moment,
-    group::{Group, Shown},
+    group::{Group, Observation},
     planner::{Planner, estimate_kind},
     table::Entry,
     worker::{Cause, Phase, Run},
 };
 
-/// Lists in a row without progress that count as standing still. One may be old.
-const STILL_LISTS: u32 = 2;
-/// Time between two looks at all runs. Lists come at longer intervals, so that a look at each tick
-/// would see the same lists again.
-const INTERVAL: Duration = Duration::from_millis(250);
-/// A report older than this says nothing of the present.
-const REPORT_AGE: Duration = Duration::from_millis(900);
+/// Number of successive lists without progress after which a run counts as stalled. One of them may
+/// be old.
+const STALLED_LISTS: u32 = 2;
+/// Interval between two checks of all runs. Lists arrive at longer intervals, so that a check at
+/// each tick would see the same lists again.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum age of a report; an older one says nothing about the present.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(900);
 
-/// How long one task takes, as its run shows; without a worker when it has ended.
+/// Run time of one task as inferred from its run; without a worker if the task has ended.
 #[derive(Clone, Copy, Debug)]
-struct Time<'a> {
+struct RunTime<'a> {
     worker: Option<&'a str>,
-    whole: Duration,
+    total: Duration,
 }
 
-/// How long the tasks of each step take, by job and step.
-type Times<'a> = BTreeMap<(&'a str, u32), Vec<Time<'a>>>;
+/// Run times of the tasks of each step, by job and step.
+type RunTimes<'a> = BTreeMap<(&'a str, u32), Vec<RunTime<'a>>>;
 
-/// What is wrong with a run.
+/// Result of the check of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
-    /// It makes no progress.
-    Still { is_hopeless: bool },
-    /// It is slow: its whole time at this pace, and what was expected.
-    Slow { whole: Duration, expected: Estimate, is_hopeless: bool },
-    /// It is as fast as it should be.
-    None,
+enum Finding {
+    /// The run makes no progress.
+    Stalled { should_move: bool },
+    /// The run is slow: its total run time at the present pace, and the expected one.
+    Slow { total: Duration, expected: Estimate, should_move: bool },
+    /// The run is at the expected speed.
+    Normal,
 }
 
 impl Planner {
-    /// Looks at the progress of all that runs.
+    /// Checks the progress of all runs.
     ///
-    /// Guards against a minion that says it is well while its tasks stand still or crawl: such a
-    /// task would hold its room, its caller would wait, and new tasks would follow it there.
+    /// Guards against a minion that reports to be healthy while its tasks are stalled or very slow:
+    /// such a task would keep its resources, its caller would wait, and new tasks would be placed
+    /// on the same worker.
     pub(crate) fn watch_progress(&mut self, now: Moment) {
-        if now.steady < self.last_watch + INTERVAL {
+        if now.steady < self.last_check + CHECK_INTERVAL {
             return;
         }
-        self.last_watch = now.steady;
-        let times = self.times();
-        let seen: Vec<(String, u32, Seen)> = (times.iter())
-            .filter_map(|((job, step), times)| Some(((*job).to_owned(), *step, seen(times, None)?)))
+        self.last_check = now.steady;
+        let run_times = self.run_times();
+        let samples: Vec<(String, u32, Sample)> = (run_times.iter())
+            .filter_map(|((job, step), all)| Some(((*job).to_owned(), *step, median(all, None)?)))
             .collect();
-        let faults = self.faults(now, &times);
-        self.note_seen(seen);
-        // What is sound on a worker shows that the worker is, so it counts before what is slow.
-        for (name, _, _) in faults.iter().filter(|(.., fault)| *fault == Fault::None) {
+        let findings = self.check_runs(now, &run_times);
+        self.record_samples(samples);
+        // A run at the expected speed shows that its worker is healthy, so it is considered before
+        // the slow runs.
+        for (name, _, _) in findings.iter().filter(|(.., finding)| *finding == Finding::Normal) {
             self.suspects.at_speed(name, now.steady);
         }
-        for (name, task, fault) in faults {
-            self.heed(now, &name, &task, fault);
+        for (name, task, finding) in findings {
+            self.react(now, &name, &task, finding);
         }
     }
 
-    /// How long the tasks of each step take, as those that have ended and those that run show.
-    fn times(&self) -> Times<'_> {
-        let mut times = Times::new();
+    /// Collects the run times of the tasks of each step, from runs that have ended and from those
+    /// in progress.
+    fn run_times(&self) -> RunTimes<'_> {
+        let mut run_times = RunTimes::new();
         for (name, worker) in &self.workers {
             for (task, run) in &worker.runs {
-                let Some(whole) = self.whole_near(task, run) else { continue };
-                let of_step = times.entry((&task.job, task.step)).or_default();
-                of_step.push(Time { worker: Some(name), whole });
+                let Some(total) = self.local_run_time(task, run) else { continue };
+                let of_step = run_times.entry((&task.job, task.step)).or_default();
+                of_step.push(RunTime { worker: Some(name), total });
             }
         }
         for (id, entry) in
             self.table.open.iter().filter_map(|id| self.table.entries.get_key_value(id))
         {
             for (key, group) in entry.groups.iter().filter(|(_, group)| group.active().is_none()) {
-                let Some(shown) = group.known() else { continue };
-                let time = Time { worker: None, whole: shown.whole };
-                times.entry((id, key.step)).or_default().push(time);
+                let Some(observed) = group.reliable_observation() else { continue };
+                let time = RunTime { worker: None, total: observed.run_time };
+                run_times.entry((id, key.step)).or_default().push(time);
             }
         }
-        times
+        run_times
     }
 
-    /// How long a whole run takes near its data, as this one shows.
-    pub(crate) fn whole_near(&self, task: &Task, run: &Run) -> Option<Duration> {
+    /// Returns the total run time near the data, as inferred from a run.
+    pub(crate) fn local_run_time(&self, task: &Task, run: &Run) -> Option<Duration> {
         let (_, _, group) = self.group_of(task)?;
-        Some(run.whole()? / self.factor(group))
+        Some(run.total_run_time()? / self.slowdown(group))
     }
 
+    /// Returns the job, the step and the group of a task.
     fn group_of(&self, task: &Task) -> Option<(&Entry, &Step, &Group)> {
         let entry = self.table.entries.get(&task.job)?;
         let step = entry.step(task.step)?;
@@ -111,52 +116,57 @@
         Some((entry, step, group))
     }
 
-    /// How many times longer a group takes where it runs.
-    fn factor(&self, group: &Group) -> u32 {
-        let is_far = group.active().is_some_and(|active| active.is_far);
-        if is_far { self.options.remote_factor.max(1) } else { 1 }
+    /// Returns the factor by which a group is slower where it runs.
+    fn slowdown(&self, group: &Group) -> u32 {
+        let is_remote = group.active().is_some_and(|active| active.is_remote);
+        if is_remote { self.options.remote_factor.max(1) } else { 1 }
     }
 
-    /// Replaces what was seen of the steps of open jobs.
-    fn note_seen(&mut self, seen: Vec<(String, u32, Seen)>) {
+    /// Replaces the observed run times of the steps of open jobs.
+    fn record_samples(&mut self, samples: Vec<(String, u32, Sample)>) {
         for id in &self.table.open {
             let Some(entry) = self.table.entries.get_mut(id) else { continue };
-            entry.seen.clear();
-            entry.seen.resize(entry.job.steps.len(), None);
+            entry.step_samples.clear();
+            entry.step_samples.resize(entry.job.steps.len(), None);
         }
-        for (job, step, seen) in seen {
+        for (job, step, sample) in samples {
             let entry = self.table.entries.get_mut(&job);
-            let known = entry.and_then(|entry| entry.seen.get_mut(step as usize));
-            if let Some(known) = known {
-                *known = Some(seen);
+            let slot = entry.and_then(|entry| entry.step_samples.get_mut(step as usize));
+            if let Some(slot) = slot {
+                *slot = Some(sample);
             }
         }
     }
 
-    fn faults(&self, now: Moment, times: &Times<'_>) -> Vec<(WorkerName, Task, Fault)> {
-        let mut faults = Vec::new();
+    /// Checks all runs of which there is a recent report.
+    fn check_runs(
+        &self,
+        now: Moment,
+        run_times: &RunTimes<'_>,
+    ) -> Vec<(WorkerName, Task, Finding)> {
+        let mut findings = Vec::new();
         for (name, worker) in &self.workers {
-            if !worker.is_fenced || now.steady > worker.heard + REPORT_AGE {
+            if !worker.is_fenced || now.steady > worker.last_contact + MAX_REPORT_AGE {
                 continue;
             }
             for (task, run) in &worker.runs {
-                if let Some(fault) = self.fault(now, name, task, run, times) {
-                    faults.push((name.clone(), task.clone(), fault));
+                if let Some(finding) = self.check_run(now, name, task, run, run_times) {
+                    findings.push((name.clone(), task.clone(), finding));
                 }
             }
         }
-        faults
+        findings
     }
 
-    /// What is wrong with a run; nothing when that can't be told yet.
-    fn fault(
+    /// Checks a run. Returns `None` while nothing can be said of it yet.
+    fn check_run(
         &self,
         now: Moment,
         name: &str,
         task: &Task,
         run: &Run,
-        times: &Times<'_>,
-    ) -> Option<Fault> {
+        run_times: &RunTimes<'_>,
+    ) -> Option<Finding> {
         if run.phase != Phase::Running || run.percent >= 100 {
             return None;
         }
@@ -164,40 +174,40 @@
         if step.is_long_running {
             return None;
         }
-        let factor = self.factor(group);
-        let expected = self.expect(entry, task.step) * factor;
-        if is_still(run, run.moved, now.steady, expected) {
-            let since = run.moved.max(self.whole_since(task, step, group)?);
-            if !is_still(run, since, now.steady, expected) {
+        let slowdown = self.slowdown(group);
+        let expected = self.expected_run_time(entry, task.step) * slowdown;
+        if is_stalled(run, run.last_progress, now.steady, expected) {
+            let since = run.last_progress.max(self.all_running_since(task, step, group)?);
+            if !is_stalled(run, since, now.steady, expected) {
                 return None;
             }
-            let still = now.steady.saturating_sub(since);
-            let is_hopeless = pace::is_worth_restarting(still, run.unsaved_time());
-            return Some(Fault::Still { is_hopeless });
+            let stalled = now.steady.saturating_sub(since);
+            let should_move = pace::is_worth_restarting(stalled, run.unsaved_time());
+            return Some(Finding::Stalled { should_move });
         }
         let track = run.track?;
-        let whole = track.present(run.moved, run.percent)? / factor;
-        let others = self.others(entry, step, group, name, task, times);
-        let own = track.best().map(|best| same_task(best / factor));
-        match pace::judge(whole, own, &others) {
+        let total = track.present(run.last_progress, run.percent)? / slowdown;
+        let comparisons = self.comparisons(entry, step, group, name, task, run_times);
+        let own = track.best().map(|best| same_task(best / slowdown));
+        match pace::judge(total, own, &comparisons) {
             (Verdict::Unknown, _) => None,
-            (Verdict::Sound, _) => Some(Fault::None),
+            (Verdict::Normal, _) => Some(Finding::Normal),
             (Verdict::Slow, expected) => {
                 let left = 1.0 - f64::from(run.percent.min(100)) / 100.0;
-                let here = (whole * factor).mul_f64(left);
+                let here = (total * slowdown).mul_f64(left);
                 let share = if step.checkpoints { left } else { 1.0 };
                 let elsewhere = expected.centre.mul_f64(share);
-                // One that is back where it was moved off has no better place.
+                // A run that is back on a worker that it was moved off has no better place.
                 let is_back = group.avoid.iter().any(|worker| worker == name);
-                let is_hopeless = !is_back && pace::is_worth_moving(here, elsewhere);
-                Some(Fault::Slow { whole, expected, is_hopeless })
+                let should_move = !is_back && pace::is_worth_moving(here, elsewhere);
+                Some(Finding::Slow { total, expected, should_move })
             }
         }
     }
 
-    /// Since when all members of a run have been there; none while one has not started, without
-    /// which the others make no progress.
-    fn whole_since(&self, task: &Task, step: &Step, group: &Group) -> Option<Duration> {
+    /// Returns the time since which all members of a gang's run have been running. Returns `None`
+    /// while one has not started: the others make no progress without it.
+    fn all_running_since(&self, task: &Task, step: &Step, group: &Group) -> Option<Duration> {
         if !step.is_gang {
             return Some(Duration::ZERO);
         }
@@ -206,66 +216,69 @@
             let run = self.workers.get(name)?.runs.get(&member)?;
             run.is_started.then_some(run.began)
         };
-        let seats = group.active()?.left.iter();
-        seats.map(began).try_fold(Duration::ZERO, |latest, began| Some(latest.max(began?)))
+        let members = group.active()?.unfinished.iter();
+        members.map(began).try_fold(Duration::ZERO, |latest, began| Some(latest.max(began?)))
     }
 
-    /// What the same task's earlier runs, its siblings on other workers and other jobs of its kind
-    /// let expect. A declared time alone says nothing of a worker.
-    fn others(
+    /// Returns the run times to expect from earlier runs of the same task, from tasks of the same
+    /// step on other workers, and from other jobs of the same kind. A declared time alone gives no
+    /// evidence against a worker.
+    fn comparisons(
         &self,
         entry: &Entry,
         step: &Step,
         group: &Group,
         name: &str,
         task: &Task,
-        times: &Times<'_>,
+        run_times: &RunTimes<'_>,
     ) -> Vec<Estimate> {
-        let is_elsewhere = |shown: &&Shown| shown.worker != name;
-        let earlier = group.known().filter(is_elsewhere);
-        let mut others: Vec<Estimate> =
-            earlier.map(|shown| same_task(shown.whole)).into_iter().collect();
-        let of_step = times.get(&(task.job.as_str(), task.step)).filter(|_| !step.is_gang);
-        if let Some(seen) = of_step.and_then(|times| seen(times, Some(name))) {
-            others.push(Estimate::of_siblings(seen));
+        let is_elsewhere = |observed: &&Observation| observed.worker != name;
+        let earlier = group.reliable_observation().filter(is_elsewhere);
+        let mut comparisons: Vec<Estimate> =
+            earlier.map(|observed| same_task(observed.run_time)).into_iter().collect();
+        let of_step = run_times.get(&(task.job.as_str(), task.step)).filter(|_| !step.is_gang);
+        if let Some(sample) = of_step.and_then(|run_times| median(run_times, Some(name))) {
+            comparisons.push(Estimate::of_same_step(sample));
         }
         let kind = estimate_kind(entry, step);
         if self.estimates.knows_kind(kind) {
             let declared = sapphire_jobs::length::declared(step);
-            others.push(self.estimates.estimate_kind(kind, declared));
+            comparisons.push(self.estimates.estimate_kind(kind, declared));
         }
-        others
+        comparisons
     }
 
-    /// Does what a fault calls for.
-    fn heed(&mut self, now: Moment, name: &str, task: &Task, fault: Fault) {
+    /// Reacts to the result of a check.
+    fn react(&mut self, now: Moment, name: &str, task: &Task, finding: Finding) {
         let policy = self.options.policy;
-        match fault {
-            Fault::None => {}
-            Fault::Still { is_hopeless } if policy.move_still => {
-                self.suspects.stands_still(name, now.steady);
-                if is_hopeless {
-                    self.move_away(now, name, task, Cause::Still, "stands still");
+        match finding {
+            Finding::Normal => {}
+            Finding::Stalled { should_move } if policy.move_still => {
+                self.suspects.stalled(name, now.steady);
+                if should_move {
+                    self.move_away(now, name, task, Cause::Stalled, "is stalled");
                 }
             }
-            // Other work there is at speed, so the task is long rather than the worker slow.
-            Fault::Slow { .. } if self.suspects.is_at_speed(name, now.steady) => {}
-            Fault::Slow { whole, expected, is_hopeless } if policy.move_slow => {
+            // Other work on this worker is at the expected speed, so the task is long rather than
+            // the worker slow.
+            Finding::Slow { .. } if self.suspects.is_at_speed(name, now.steady) => {}
+            Finding::Slow { total, expected, should_move } if policy.move_slow => {
                 self.suspects.slowed(name, now.steady);
-                if is_hopeless {
+                if should_move {
                     let why = format!(
                         "is far too slow (whole_ms={} expected_ms={} spread={:.2})",
-                        whole.as_millis(),
+                        total.as_millis(),
                         expected.centre.as_millis(),
                         expected.spread
                     );
                     self.move_away(now, name, task, Cause::Slow, &why);
                 }
             }
-            Fault::Still { .. } | Fault::Slow { .. } => {}
+            Finding::Stalled { .. } | Finding::Slow { .. } => {}
         }
     }
 
+    /// Stops a group because of a faulty run, so that it starts on other workers.
     fn move_away(&mut self, now: Moment, name: &str, task: &Task, cause: Cause, why: &str) {
         let Some(entry) = self.table.entries.get_mut(&task.job) else { return };
         let Some(step) = entry.step(task.step) else { return };
@@ -275,9 +288,9 @@
         if group.active().is_none_or(|active| active.is_stopping) {
             return;
         }
-        // Any of a gang's workers may be the slow one, since all members go at its pace.
+        // Any of a gang's workers may be the slow one, since all members run at its pace.
         let mut workers: BTreeSet<WorkerName> = match group.active() {
-            Some(active) if is_gang => active.left.values().cloned().collect(),
+            Some(active) if is_gang => active.unfinished.values().cloned().collect(),
             _ => BTreeSet::new(),
         };
         workers.retain(|worker| !self.suspects.is_at_speed(worker, now.steady));
@@ -285,38 +298,38 @@
             workers.insert(name.to_owned());
         }
         group.avoid.extend(workers);
-        self.log(format!("task={task} worker={name} {why}; stopped to go elsewhere"));
+        self.log(format!("task={task} worker={name} {why}; stopped to be moved to another worker"));
         self.stop_group(now.steady, &task.job, &key, &cause);
     }
 }
 
-/// The same task elsewhere, or earlier.
+/// Returns the estimate for another run of the same task.
 fn same_task(centre: Duration) -> Estimate {
-    Estimate { centre, spread: pace::SAME_TASK }
+    Estimate { centre, spread: pace::SAME_TASK_SPREAD }
 }
 
-/// The median of a step's times, without those of one worker. Several on one worker count as one,
-/// the shortest: a slow worker would outweigh the others.
-fn seen(times: &[Time<'_>], without: Option<&str>) -> Option<Seen> {
+/// Returns the median run time of a step, not counting the worker `without`. Several runs on one
+/// worker count as one, the shortest: otherwise a slow worker would outweigh the others.
+fn median(run_times: &[RunTime<'_>], without: Option<&str>) -> Option<Sample> {
     let mut by_worker: BTreeMap<&str, Duration> = BTreeMap::new();
     let mut all: Vec<Duration> = Vec::new();
-    for time in times.iter().filter(|time| time.worker.is_none() || time.worker != without) {
+    for time in run_times.iter().filter(|time| time.worker.is_none() || time.worker != without) {
         match time.worker {
-            None => all.push(time.whole),
+            None => all.push(time.total),
             Some(worker) => {
-                let least = by_worker.entry(worker).or_insert(time.whole);
-                *least = time.whole.min(*least);
+                let least = by_worker.entry(worker).or_insert(time.total);
+                *least = time.total.min(*least);
             }
         }
     }
     all.extend(by_worker.into_values());
     all.sort_unstable();
     let median = *all.get(all.len().checked_sub(1)? / 2)?;
-    Some(Seen { median, count: u32::try_from(all.len()).unwrap_or(u32::MAX) })
+    Some(Sample { median, count: u32::try_from(all.len()).unwrap_or(u32::MAX) })
 }
 
-/// Whether a run that should have made progress since a time has made none.
-fn is_still(run: &Run, since: Duration, now: Duration, expected: Duration) -> bool {
-    let limit = pace::still_after(run.track.and_then(|track| track.best()), expected);
-    run.still >= STILL_LISTS && now > since + limit
+/// Returns whether a run that should have made progress since a time has made none.
+fn is_stalled(run: &Run, since: Duration, now: Duration, expected: Duration) -> bool {
+    let limit = pace::stall_timeout(run.track.and_then(|track| track.best()), expected);
+    run.stalled_lists >= STALLED_LISTS && now > since + limit
 }
