--- a/crates/ledger/src/delay.rs
+++ b/crates/ledger/src/delay.rs
@@ -1,29 +1,30 @@
-//! Where the time of a late job went.
+//! Attribution of a late job's time to what the job waited for or ran.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-use crate::book::{Book, Job};
+use crate::history::{History, Job};
 
-/// Milliseconds of a job's time, by what it was spent on.
+/// Time of a job in milliseconds, by what it was spent on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Delay {
-    /// Nothing of it ran, and there was a planner: no room, or it waited for its turn.
+    /// No run of the job was active although there was a planner: resources were short, or other
+    /// jobs had precedence.
     pub waiting_ms: u64,
-    /// There was no planner, and nothing of it ran.
+    /// No run of the job was active, and there was no planner.
     pub no_planner_ms: u64,
-    /// Only runs were at work that came to nothing.
+    /// Only runs were active that did not end as `DONE`; usually their tasks had to run again.
     pub again_ms: u64,
-    /// Runs were at work that came to their end, as long as was expected of them.
+    /// Runs that ended as `DONE` were active, up to the expected run time in total.
     pub running_ms: u64,
-    /// The same, beyond what was expected.
+    /// Runs that ended as `DONE` were active beyond the expected run time.
     pub slower_ms: u64,
-    /// All was done and not shown yet.
+    /// All tasks were done, but the final state was not durable and visible to callers yet.
     pub shown_late_ms: u64,
 }
 
-/// A span in which something held.
+/// A half-open interval of time: `to` does not belong to it.
 #[derive(Clone, Copy, Debug)]
 struct Span {
     from: Duration,
@@ -31,37 +32,39 @@
 }
 
 impl Span {
-    fn holds(&self, at: Duration) -> bool {
+    fn contains(&self, at: Duration) -> bool {
         self.from <= at && at < self.to
     }
 }
 
-/// Splits a job's time, from its acceptance until its end was shown or the logs end.
-pub fn split(book: &Book, id: &str, job: &Job) -> Delay {
+/// Splits the time of a job from its acceptance until its final state became visible, or until the
+/// logs end.
+pub fn split(history: &History, id: &str, job: &Job) -> Delay {
     let Some(from) = job.accepted else { return Delay::default() };
-    let last = book.span.map_or(from, |(_, last)| last);
-    let to = job.shown.as_ref().map_or(last, |(at, _)| *at);
-    let (done, vain) = runs(book, id);
-    let gaps: Vec<Span> = book.gaps.iter().map(|gap| Span { from: gap.from, to: gap.to }).collect();
-    let mut cuts: Vec<Duration> = vec![from, to];
-    let spans = || done.iter().chain(&vain).chain(&gaps);
-    cuts.extend(spans().flat_map(|span| [span.from, span.to]));
-    cuts.extend(job.done);
-    cuts.retain(|at| (from..=to).contains(at));
-    cuts.sort_unstable();
+    let last = history.span.map_or(from, |(_, last)| last);
+    let to = job.published.as_ref().map_or(last, |(at, _)| *at);
+    let (useful, wasted) = run_spans(history, id);
+    let gaps: Vec<Span> =
+        history.gaps.iter().map(|gap| Span { from: gap.from, to: gap.to }).collect();
+    let mut boundaries: Vec<Duration> = vec![from, to];
+    let spans = || useful.iter().chain(&wasted).chain(&gaps);
+    boundaries.extend(spans().flat_map(|span| [span.from, span.to]));
+    boundaries.extend(job.tasks_done);
+    boundaries.retain(|at| (from..=to).contains(at));
+    boundaries.sort_unstable();
     let mut delay = Delay::default();
-    let mut worked = Duration::ZERO;
-    for pair in cuts.windows(2) {
+    let mut run_time = Duration::ZERO;
+    for pair in boundaries.windows(2) {
         let (at, time) = (pair[0], pair[1] - pair[0]);
         let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        let is_in = |spans: &[Span]| spans.iter().any(|span| span.holds(at));
-        if job.done.is_some_and(|done| at >= done) {
+        let is_in = |spans: &[Span]| spans.iter().any(|span| span.contains(at));
+        if job.tasks_done.is_some_and(|done| at >= done) {
             delay.shown_late_ms += ms;
-        } else if is_in(&done) {
-            let is_slower = !job.expected.is_zero() && worked >= job.expected;
-            worked += time;
+        } else if is_in(&useful) {
+            let is_slower = !job.expected_run_time.is_zero() && run_time >= job.expected_run_time;
+            run_time += time;
             *(if is_slower { &mut delay.slower_ms } else { &mut delay.running_ms }) += ms;
-        } else if is_in(&vain) {
+        } else if is_in(&wasted) {
             delay.again_ms += ms;
         } else if is_in(&gaps) {
             delay.no_planner_ms += ms;
@@ -72,12 +75,12 @@
     delay
 }
 
-/// Runs of a job that came to their end, and those that came to nothing.
-fn runs(book: &Book, id: &str) -> (Vec<Span>, Vec<Span>) {
-    let (mut done, mut vain) = (Vec::new(), Vec::new());
-    for (run, end) in book.ends_of(id) {
-        let span = Span { from: book.began(run, end), to: end.at };
-        if end.ending == "DONE" { &mut done } else { &mut vain }.push(span);
+/// Returns the intervals of a job's runs that ended as `DONE`, and of those that ended otherwise.
+fn run_spans(history: &History, id: &str) -> (Vec<Span>, Vec<Span>) {
+    let (mut useful, mut wasted) = (Vec::new(), Vec::new());
+    for (run, end) in history.runs(id) {
+        let span = Span { from: history.start(run, end), to: end.at };
+        if end.ending == "DONE" { &mut useful } else { &mut wasted }.push(span);
     }
-    (done, vain)
+    (useful, wasted)
 }
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -1,114 +1,114 @@
-//! What a line tells.
+//! Events: the meaning of the log messages that the report uses.
 
 use std::time::Duration;
 
 use crate::line::{Line, field, number};
 
-/// A task: its job, occurrence, step and index.
+/// A task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Task {
-    /// Its job.
+    /// Identifier of its job.
     pub job: String,
-    /// The rest, as logged.
-    pub place: String,
+    /// Occurrence, step and index within the job, as logged: `0/0/0`.
+    pub position: String,
 }
 
 /// A run of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Run {
-    /// Of which task.
+    /// Task that ran.
     pub task: Task,
-    /// Its number.
+    /// Number of the run, as the planner assigned it.
     pub number: u32,
 }
 
-/// One event.
+/// An event that a log message reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The planner has taken in a job.
+    /// The planner has accepted a job.
     Accepted {
-        /// The job.
+        /// Identifier of the job.
         job: String,
-        /// Its organisation.
+        /// Organisation that submitted it.
         organisation: String,
-        /// Its priority.
+        /// Priority of the job.
         priority: u32,
-        /// Time within which its caller wants it, as far as known then.
+        /// Time from acceptance within which the job should complete, as known at acceptance.
         objective: Duration,
     },
-    /// A caller was turned away.
+    /// An entry rejected a submission with status 429 or 503.
     Refused {
-        /// The job, as the caller named it.
+        /// Identifier of the job in the request's path.
         job: String,
-        /// The answer.
+        /// Answer that the entry logged.
         answer: String,
     },
     /// A minion has started a run.
     Started(Run),
-    /// A run was placed; what was expected of it then.
+    /// The planner has assigned a task to a worker.
     Placed {
-        /// The job.
+        /// Identifier of the job.
         job: String,
-        /// Expected time.
-        expected: Duration,
+        /// Run time that the planner expected.
+        expected_run_time: Duration,
     },
     /// A run has ended.
     Ended {
-        /// Which.
+        /// The run.
         run: Run,
-        /// Where it ran.
+        /// Worker on which it ran.
         worker: String,
-        /// How: `DONE`, `STOPPED`, ...
+        /// How it ended: `DONE`, `STOPPED`, ...
         ending: String,
-        /// How long it ran.
-        ran: Duration,
-        /// Processors that it took; an accelerator counts as eight.
+        /// Run time.
+        run_time: Duration,
+        /// Processors that it used; an accelerator counts as eight.
         cores: f64,
-        /// Processor seconds that are lost.
-        lost: f64,
-        /// Why it was stopped; empty when it was not.
+        /// Processor seconds of work that were lost.
+        lost_core_s: f64,
+        /// Reason why it was stopped; empty if the message has none.
         cause: String,
-        /// The job for which it was stopped; empty when there is none.
+        /// Job for which it was stopped; empty if there is none.
         beneficiary: String,
     },
-    /// All tasks of a job are done; the time within which its caller wanted it, as known by then.
-    Done {
-        /// The job.
+    /// All tasks of a job are done. Its final state may not be durable yet.
+    TasksDone {
+        /// Identifier of the job.
         job: String,
-        /// That time.
+        /// Time from acceptance within which the job should complete, as known at its end.
         objective: Option<Duration>,
     },
-    /// A job's end is durable and shown.
-    Shown {
-        /// The job.
+    /// The final state of a job is durable and visible to callers.
+    Published {
+        /// Identifier of the job.
         job: String,
-        /// `COMPLETE`, `FAILED` or `CANCELLED`.
+        /// Final state: `COMPLETE`, `FAILED` or `CANCELLED`.
         state: String,
     },
     /// A job was cancelled.
     Cancelled(String),
     /// A job has failed.
     Failed(String),
-    /// A planner begins its term.
+    /// An entry has begun a term as planner.
     TermBegins(u64),
-    /// A planner places work from now on.
+    /// The planner of a term has taken over and places work from now on.
     TermServes(u64),
-    /// A worker's agent has started in a zone.
+    /// The agent of a worker has started.
     Zone {
-        /// The worker.
+        /// Name of the worker.
         worker: String,
-        /// Its zone.
+        /// Zone of the worker.
         zone: String,
     },
-    /// Anything else that the planner says; it is alive.
+    /// Any other message of the planner, which shows that it was alive.
     PlannerAlive,
-    /// Nothing of interest here.
+    /// A message that the report does not use.
     Other,
 }
 
 fn task(name: &str) -> Option<Task> {
-    let (job, place) = name.split_once('/')?;
-    Some(Task { job: job.to_owned(), place: place.to_owned() })
+    let (job, position) = name.split_once('/')?;
+    Some(Task { job: job.to_owned(), position: position.to_owned() })
 }
 
 fn run(text: &str) -> Option<Run> {
@@ -119,27 +119,28 @@
     number(text, key).map(Duration::from_millis)
 }
 
-/// A figure that can be summed up: one that is no number would make every sum it enters none.
-fn figure(text: &str, key: &str) -> Option<f64> {
-    const LARGEST: f64 = 1e15;
-    number(text, key).filter(|figure| (0.0..=LARGEST).contains(figure))
+/// Returns the value of a key as a number from 0 to `MAX`. Other values are ignored, since a single
+/// NaN or infinite value would make every sum that includes it NaN or infinite.
+fn finite(text: &str, key: &str) -> Option<f64> {
+    const MAX: f64 = 1e15;
+    number(text, key).filter(|value| (0.0..=MAX).contains(value))
 }
 
-/// Reads what a line tells.
-pub fn read(line: &Line<'_>) -> Event {
+/// Returns the event that a line reports.
+pub fn parse(line: &Line<'_>) -> Event {
     let event = match line.part {
-        "plan" => planner(line.text).or(Some(Event::PlannerAlive)),
-        "front" => front(line.text),
+        "plan" => parse_planner(line.text).or(Some(Event::PlannerAlive)),
+        "front" => parse_front(line.text),
         "agent" if line.text.contains(" started after ") => run(line.text).map(Event::Started),
-        "member" => zone(line.text),
+        "member" => parse_member(line.text),
         _ => None,
     };
     event.unwrap_or(Event::Other)
 }
 
-fn planner(text: &str) -> Option<Event> {
+fn parse_planner(text: &str) -> Option<Event> {
     if let Some(ending) = field(text, "ended") {
-        return ended(text, ending);
+        return parse_end(text, ending);
     }
     if let Some(term) = number(text, "term") {
         return text.contains(" serves after ").then_some(Event::TermServes(term));
@@ -155,10 +156,10 @@
         });
     }
     if text.contains(" all tasks are done") {
-        return Some(Event::Done { job, objective: millis(text, "objective_ms") });
+        return Some(Event::TasksDone { job, objective: millis(text, "objective_ms") });
     }
     if text.ends_with(" is durable") {
-        return Some(Event::Shown { job, state: field(text, "state")?.to_owned() });
+        return Some(Event::Published { job, state: field(text, "state")?.to_owned() });
     }
     if text.ends_with(" cancelled") {
         return Some(Event::Cancelled(job));
@@ -166,24 +167,24 @@
     if text.ends_with("; job fails") {
         return Some(Event::Failed(job));
     }
-    let expected = millis(text, "expected_ms").filter(|_| text.contains(" placed "))?;
-    Some(Event::Placed { job, expected })
+    let expected_run_time = millis(text, "expected_ms").filter(|_| text.contains(" placed "))?;
+    Some(Event::Placed { job, expected_run_time })
 }
 
-fn ended(text: &str, ending: &str) -> Option<Event> {
+fn parse_end(text: &str, ending: &str) -> Option<Event> {
     Some(Event::Ended {
         run: run(text)?,
         worker: field(text, "worker")?.to_owned(),
         ending: ending.to_owned(),
-        ran: millis(text, "ran_ms").unwrap_or_default(),
-        cores: figure(text, "cores").unwrap_or_default(),
-        lost: figure(text, "lost_core_s").unwrap_or_default(),
+        run_time: millis(text, "ran_ms").unwrap_or_default(),
+        cores: finite(text, "cores").unwrap_or_default(),
+        lost_core_s: finite(text, "lost_core_s").unwrap_or_default(),
         cause: field(text, "cause").unwrap_or_default().to_owned(),
         beneficiary: field(text, "for").unwrap_or_default().to_owned(),
     })
 }
 
-fn front(text: &str) -> Option<Event> {
+fn parse_front(text: &str) -> Option<Event> {
     if text.ends_with(" begins here") {
         return number(text, "term").map(Event::TermBegins);
     }
@@ -193,7 +194,7 @@
     Some(Event::Refused { job, answer: field(text, "answer").unwrap_or_default().to_owned() })
 }
 
-fn zone(text: &str) -> Option<Event> {
+fn parse_member(text: &str) -> Option<Event> {
     let (worker, zone) = (field(text, "agent")?.to_owned(), field(text, "zone")?.to_owned());
     Some(Event::Zone { worker, zone })
 }
--- a/crates/ledger/src/line.rs
+++ b/crates/ledger/src/line.rs
@@ -1,25 +1,25 @@
-//! One line of a log.
+//! Log lines: time, part of the program and message.
 
 use std::time::{Duration, SystemTime};
 
-/// A line that one of the programs wrote. Whatever stands before its time (a collector's prefix)
-/// is passed over.
+/// A line that one of the programs logged. Text before the time, such as the prefix of a log
+/// collector, is ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line<'a> {
-    /// Unix time.
+    /// Time since the Unix epoch.
     pub at: Duration,
-    /// Part of the program: `plan`, `front`, `agent`, ...
+    /// Part of the program that logged it: `plan`, `front`, `agent`, ...
     pub part: &'a str,
-    /// What it says.
+    /// Message.
     pub text: &'a str,
 }
 
-/// Mark between a line's level and its part.
-const MARK: &str = "] sapphire: ";
+/// Separator between the level and the part of a line.
+const SEPARATOR: &str = "] sapphire: ";
 
-/// Reads a line; nothing when it is cut or of another program.
-pub fn read(line: &str) -> Option<Line<'_>> {
-    let (head, rest) = line.split_once(MARK)?;
+/// Parses a line. Returns `None` if it is truncated or was logged by another program.
+pub fn parse(line: &str) -> Option<Line<'_>> {
+    let (head, rest) = line.split_once(SEPARATOR)?;
     let (before, _level) = head.rsplit_once('[')?;
     let time = before.split_whitespace().next_back()?;
     let at = humantime::parse_rfc3339(time).ok()?;
@@ -29,12 +29,12 @@
     (!text.is_empty()).then_some(Line { at, part, text })
 }
 
-/// The value of `key=value` in a text; a value ends at the next space.
+/// Returns the value of the first `key=value` in a message. A value ends at the next space.
 pub fn field<'a>(text: &'a str, key: &str) -> Option<&'a str> {
     text.split(' ').find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// The same as a number.
+/// Returns the value of the first `key=value` in a message, parsed as a number.
 pub fn number<T: std::str::FromStr>(text: &str, key: &str) -> Option<T> {
     field(text, key)?.parse().ok()
 }
--- a/crates/ledger/src/text.rs
+++ b/crates/ledger/src/text.rs
@@ -1,15 +1,16 @@
-//! A report for people.
+//! Report as text for operators.
 
 use std::{collections::BTreeMap, fmt::Write as _};
 
-use crate::report::{Report, Trouble};
+use crate::report::{Report, Violation};
 
-/// Rows of a table of jobs that are shown at most; the longest first would hide the first cause.
-const MOST_ROWS: usize = 40;
-/// Beneficiaries that are shown at most.
-const MOST_BENEFICIARIES: usize = 10;
+/// Maximum number of jobs listed. Jobs are listed by time of acceptance: sorted by duration, the
+/// list would hide which delay came first and caused the others.
+const MAX_JOBS: usize = 40;
+/// Maximum number of beneficiaries listed.
+const MAX_BENEFICIARIES: usize = 10;
 
-/// Writes a report.
+/// Formats a report as text.
 pub fn write(report: &Report) -> String {
     let mut out = String::new();
     let _ = writeln!(
@@ -23,7 +24,7 @@
     let jobs: Vec<String> = report
         .jobs
         .iter()
-        .map(|(fate, count)| format!("{count} {fate:?}").to_lowercase())
+        .map(|(outcome, count)| format!("{count} {outcome:?}").to_lowercase())
         .collect();
     let _ = writeln!(out, "jobs: {}", jobs.join(", "));
     let lost = &report.lost;
@@ -33,29 +34,30 @@
         lost.total, lost.with_worker, lost.failed
     );
     table(&mut out, "cause", &lost.by_cause, usize::MAX);
-    table(&mut out, "for job", &lost.by_beneficiary, MOST_BENEFICIARIES);
+    table(&mut out, "for job", &lost.by_beneficiary, MAX_BENEFICIARIES);
     table(&mut out, "priority", &lost.by_priority, usize::MAX);
     table(&mut out, "organisation", &lost.by_organisation, usize::MAX);
     table(&mut out, "zone", &lost.by_zone, usize::MAX);
     let windows: Vec<String> =
         lost.by_window.iter().map(|(at, lost)| format!("{at}s {lost:.0}")).collect();
     let _ = writeln!(out, "  by window: {}", windows.join(", "));
-    troubles(&mut out, &report.troubles);
+    violations(&mut out, &report.troubles);
     out
 }
 
-/// Rows of a table, the largest first.
-fn table(out: &mut String, name: &str, rows: &BTreeMap<String, f64>, most: usize) {
+/// Appends the rows of a table in one line, the largest value first, and at most `limit` of them.
+fn table(out: &mut String, name: &str, rows: &BTreeMap<String, f64>, limit: usize) {
     let mut rows: Vec<(&String, &f64)> = rows.iter().collect();
     rows.sort_by(|left, right| right.1.total_cmp(left.1));
     let cells: Vec<String> =
-        rows.iter().take(most).map(|(key, lost)| format!("{key} {lost:.0}")).collect();
+        rows.iter().take(limit).map(|(key, lost)| format!("{key} {lost:.0}")).collect();
     let _ = writeln!(out, "  by {name}: {}", cells.join(", "));
 }
 
-fn troubles(out: &mut String, troubles: &[Trouble]) {
-    let _ = writeln!(out, "\njobs that were not served in time: {} (times in ms)", troubles.len());
-    if troubles.is_empty() {
+fn violations(out: &mut String, violations: &[Violation]) {
+    let _ =
+        writeln!(out, "\njobs that were not served in time: {} (times in ms)", violations.len());
+    if violations.is_empty() {
         return;
     }
     let _ = writeln!(
@@ -74,29 +76,29 @@
         "slower",
         "shown"
     );
-    for trouble in troubles.iter().take(MOST_ROWS) {
-        let delay = &trouble.delay;
-        let fate = format!("{:?}", trouble.fate).to_lowercase();
+    for violation in violations.iter().take(MAX_JOBS) {
+        let delay = &violation.delay;
+        let outcome = format!("{:?}", violation.fate).to_lowercase();
         let _ = writeln!(
             out,
             "{:>7} {:18} {:>4} {:10} {:>7} {:>9} | {:>7} {:>8} {:>6} {:>7} {:>6} {:>5} | {} {}",
-            trouble.at_ms,
-            trouble.job,
-            trouble.priority,
-            fate,
-            trouble.took_ms,
-            trouble.objective_ms,
+            violation.at_ms,
+            violation.job,
+            violation.priority,
+            outcome,
+            violation.took_ms,
+            violation.objective_ms,
             delay.waiting_ms,
             delay.no_planner_ms,
             delay.again_ms,
             delay.running_ms,
             delay.slower_ms,
             delay.shown_late_ms,
-            trouble.refusals,
-            trouble.answer
+            violation.refusals,
+            violation.answer
         );
     }
-    if troubles.len() > MOST_ROWS {
-        let _ = writeln!(out, "and {} more; --json has all", troubles.len() - MOST_ROWS);
+    if violations.len() > MAX_JOBS {
+        let _ = writeln!(out, "and {} more; --json has all", violations.len() - MAX_JOBS);
     }
 }
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -1,12 +1,13 @@
-//! Reports from logs as the programs write them.
+//! Reports on logs in the form in which the programs write them.
 
-use sapphire_ledger::{book::Book, chart, report::Report, text};
+use sapphire_ledger::{chart, history::History, report::Report, text};
 
 mod fuzz;
 
-/// A day in short: an urgent job stops a task of a small one, which is then late; a gang waits for
-/// a member; the planner is lost for a while.
-const DAY: &str = "\
+/// Log of a short simulated run: a task of the job `small` is stopped for the urgent job `big`, so
+/// that `small` is late; there is no planner for about two seconds; one submission is rejected; the
+/// last line is truncated.
+const LOG: &str = "\
 2026-01-01T00:00:00.000000000Z [INFO] sapphire: member: agent=w1 zone=north starts minion=1.1.1.1:1
 2026-01-01T00:00:00.100000000Z [INFO] sapphire: front: term=2 begins here
 2026-01-01T00:00:00.200000000Z [INFO] sapphire: plan: term=2 serves after 10 ms
@@ -31,67 +32,71 @@
 2026-01-01T00:00:09.100000000Z [INFO] sapphire: plan: task=small/0/0/0 run=10";
 
 fn report(log: &str) -> Report {
-    Report::new(&Book::read(log.lines()))
+    Report::new(&History::read(log.lines()))
 }
 
 #[test]
-fn a_day_is_accounted_for() {
-    insta::assert_snapshot!(text::write(&report(DAY)));
-    insta::assert_snapshot!(serde_json::to_string_pretty(&report(DAY)).expect("it can be written"));
+fn a_report_lists_wasted_work_and_late_jobs() {
+    insta::assert_snapshot!(text::write(&report(LOG)));
+    insta::assert_snapshot!(
+        serde_json::to_string_pretty(&report(LOG)).expect("reports can be serialised")
+    );
 }
 
-/// Logs of several processes come as several files, with a collector's prefix before each line,
-/// and in any order.
+/// Logs of several processes are read from several files, whose order does not follow time, and a
+/// log collector may put a prefix before each line.
 #[test]
 fn order_and_prefixes_do_not_matter() {
-    let mut lines: Vec<String> = DAY.lines().map(|line| format!("  1.2 host-a {line}")).collect();
+    let mut lines: Vec<String> = LOG.lines().map(|line| format!("  1.2 host-a {line}")).collect();
     lines.reverse();
-    assert_eq!(report(&lines.join("\n")), report(DAY));
+    assert_eq!(report(&lines.join("\n")), report(LOG));
 }
 
-/// Two planners work for a moment while one takes over; both tell of the same end. It counts once,
-/// by the one that knows what became of the run.
+/// During a take-over two planners are active for a moment, and both log the end of the same run.
+/// It counts once, with the ending of the planner that knows how the run ended.
 #[test]
-fn an_end_that_two_planners_tell_of_counts_once() {
+fn an_end_logged_by_two_planners_counts_once() {
     let lost = "2026-01-01T00:00:02.300000000Z [INFO] sapphire: plan: task=small/0/0/0 run=1 worker=w1 \
                 ended=LOST ran_ms=1300 cores=9.0 lost_core_s=8.0";
-    let both = format!("{lost}\n{DAY}");
-    let (one, two) = (report(DAY), report(&both));
+    let both = format!("{lost}\n{LOG}");
+    let (one, two) = (report(LOG), report(&both));
     assert_eq!(one.lost, two.lost);
     assert_eq!(one.runs, two.runs);
 }
 
-/// Other text, cut lines and nothing at all: counted, no crash, nothing made up.
+/// Text of other programs is counted as unreadable lines and adds no job to the report; blank lines
+/// are not counted. Neither it nor empty input or a log that is cut anywhere causes a panic.
 #[test]
-fn other_text_is_counted() {
+fn unreadable_lines_are_counted() {
     let other = report("hello\n\n2026-01-01 [INFO] x\n] sapphire: plan: \n[INFO] sapphire: a: b\n");
     assert_eq!((other.lines, other.unreadable, other.jobs.len()), (4, 4, 0));
     assert_eq!(report("").lines, 0);
-    assert!(chart::draw(&Book::read("".lines())).is_err());
-    for cut in 0..DAY.len() {
-        if DAY.is_char_boundary(cut) && cut % 97 == 0 {
-            report(&DAY[..cut]);
+    assert!(chart::draw(&History::read("".lines())).is_err());
+    for cut in 0..LOG.len() {
+        if LOG.is_char_boundary(cut) && cut % 97 == 0 {
+            report(&LOG[..cut]);
         }
     }
 }
 
 #[test]
 fn a_timeline_shows_workers_and_runs() {
-    let picture = chart::draw(&Book::read(DAY.lines())).expect("there is something to draw");
+    let picture = chart::draw(&History::read(LOG.lines())).expect("there is something to draw");
     assert!(picture.starts_with("<svg") && picture.trim_end().ends_with("</svg>"));
     let bars = picture.matches("<rect").count();
-    assert!(bars > 3, "one for each run beside the background: {bars}");
+    assert!(bars > 3, "expected a bar for each run and the background, got {bars} rectangles");
 }
 
-/// Guards against one line whose figures are no numbers and with which every sum is none.
+/// A single line with a NaN or infinite value would make every sum that includes it NaN or
+/// infinite.
 #[test]
-fn figures_that_are_no_numbers_are_passed_over() {
+fn values_that_are_not_finite_are_ignored() {
     for (cores, lost) in [("inf", "NaN"), ("1.0", "inf"), ("NaN", "1e308")] {
         let line = format!(
             "2026-01-01T00:00:04Z [INFO] sapphire: plan: task=x/0/0/0 run=1 worker=w1 \
              ended=STOPPED ran_ms=1 cores={cores} lost_core_s={lost} cause=urgent for=big"
         );
-        let with = Report::new(&Book::read(DAY.lines().chain([line.as_str()])));
-        assert_eq!(with.lost.total, report(DAY).lost.total, "{line}");
+        let with = Report::new(&History::read(LOG.lines().chain([line.as_str()])));
+        assert_eq!(with.lost.total, report(LOG).lost.total, "{line}");
     }
 }
--- a/crates/sapphirectl/src/args.rs
+++ b/crates/sapphirectl/src/args.rs
@@ -1,16 +1,16 @@
-//! Arguments.
+//! Command-line arguments. Doc comments of commands and fields are the help texts.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// Drives sapphireline: rules, jobs, and what is known of the fleet.
+/// Manages sapphireline: rules, jobs and the state of the fleet.
 ///
 /// Entries are tried in the order given, until one answers.
 ///
-/// Exit codes: 0 done; 1 no entry could be reached, or it failed; 2 the file or call has faults;
-/// 3 refused, nothing ran or changed; 4 the job ended, but not done; 5 it is not known whether
-/// it took effect.
+/// Exit codes: 0 success; 1 no entry could be reached, or the command failed; 2 the file or request
+/// is invalid; 3 refused, nothing ran or changed; 4 the job ended, but neither done nor cancelled;
+/// 5 it is unknown whether the request took effect.
 ///
 /// Example: sapphirectl --entry 10.0.0.1:8000 rules apply rules.txt --expect-revision 4 --wait
 #[derive(FromArgs)]
@@ -21,40 +21,40 @@
     /// print JSON for programs instead of tables
     #[argh(switch)]
     pub json: bool,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// Commands.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Rules.
+    /// `rules`.
     Rules(Rules),
-    /// Jobs.
+    /// `job`.
     Job(Job),
-    /// Workers.
+    /// `workers`.
     Workers(Workers),
-    /// Minions.
+    /// `minions`.
     Minions(Minions),
-    /// Organisations.
+    /// `organisations`.
     Organisations(Organisations),
-    /// Report.
+    /// `report`.
     Report(Report),
 }
 
-/// Account for work that was thrown away and jobs that were late, from the programs' logs.
+/// Report wasted work and late jobs from the logs of all programs.
 ///
-/// Needs no entry. Lines that are cut or of other programs are counted. Exit codes: 0 done; 1 a
-/// file can't be read or written; 2 no line could be read.
+/// Does not contact an entry. Truncated lines and lines of other programs are counted. Exit codes:
+/// 0 success; 1 a file can't be read or written; 2 no line could be read.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub struct Report {
-    /// log files; those of all processes of the time in question
+    /// log files of all processes for the period of the report
     #[argh(positional)]
     pub logs: Vec<PathBuf>,
-    /// file for a timeline of the workers
+    /// write a timeline of the workers as SVG to this file
     #[argh(option)]
     pub svg: Option<PathBuf>,
 }
@@ -63,42 +63,42 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rules")]
 pub struct Rules {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: RulesCommand,
 }
 
-/// What to do with rules.
+/// Commands of `rules`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum RulesCommand {
-    /// Check.
+    /// `rules check`.
     Check(Check),
-    /// Diff.
+    /// `rules diff`.
     Diff(Diff),
-    /// Apply.
+    /// `rules apply`.
     Apply(Apply),
-    /// Show.
+    /// `rules show`.
     Show(Show),
-    /// History.
+    /// `rules history`.
     History(History),
-    /// Status.
+    /// `rules status`.
     Status(Status),
 }
 
-/// Check a file: all findings at once, with line and column.
+/// Check a rule file and print all findings with line and column.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
     /// rule file
     #[argh(positional)]
     pub file: PathBuf,
-    /// check the text alone, without asking an entry whether the workers can hold the guarantees
+    /// check only the text, without asking an entry whether the workers can satisfy the guarantees
     #[argh(switch)]
     pub offline: bool,
 }
 
-/// Show how a file differs from the rules in force.
+/// Show how a rule file differs from the rules in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct Diff {
@@ -107,23 +107,23 @@
     pub file: PathBuf,
 }
 
-/// Put a file in force, if the expected revision is still the one in force.
+/// Apply a rule file if the expected revision is still in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
     /// rule file
     #[argh(positional)]
     pub file: PathBuf,
-    /// revision that the file was made from (`rules show` tells); 0 when there is none yet
+    /// revision that the file is based on, as printed by `rules show`; 0 if there is none yet
     #[argh(option)]
     pub expect_revision: u64,
-    /// who applies it; the user's name by default
+    /// author of the change; the user's name by default
     #[argh(option)]
     pub author: Option<String>,
-    /// accept guarantees that the workers at hand can't hold
+    /// accept guarantees that the available workers can't satisfy
     #[argh(switch)]
     pub allow_short: bool,
-    /// wait until it is in force in every process heard of
+    /// wait until the rules are in force in every known process
     #[argh(switch)]
     pub wait: bool,
 }
@@ -138,7 +138,7 @@
 #[argh(subcommand, name = "history")]
 pub struct History {}
 
-/// Show in how many processes which revision is in force.
+/// Show which revisions are in force, and in how many processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {}
@@ -147,24 +147,24 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "job")]
 pub struct Job {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: JobCommand,
 }
 
-/// What to do with jobs.
+/// Commands of `job`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum JobCommand {
-    /// Submit.
+    /// `job submit`.
     Submit(Submit),
-    /// Wait.
+    /// `job wait`.
     Wait(Wait),
-    /// Cancel.
+    /// `job cancel`.
     Cancel(Cancel),
-    /// List.
+    /// `job list`.
     List(List),
-    /// Explain.
+    /// `job explain`.
     Explain(Explain),
 }
 
@@ -172,16 +172,17 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub struct Submit {
-    /// organisation that it runs for
+    /// organisation that the job runs for
     #[argh(option)]
     pub organisation: String,
     /// accelerators of each task
     #[argh(option)]
     pub accelerators: u32,
-    /// tasks of the gang; 1 by default
+    /// number of tasks of the gang; 1 by default
     #[argh(option, default = "1")]
     pub tasks: u32,
-    /// how close the tasks are: worker, rack or zone (default)
+    /// where the tasks run together: on one worker, in one rack or in one zone (worker, rack or
+    /// zone); zone by default
     #[argh(option, default = "String::from(\"zone\")")]
     pub adjacency: String,
     /// processors of each task
@@ -190,28 +191,28 @@
     /// memory of each task, such as 16GiB
     #[argh(option)]
     pub memory: Option<String>,
-    /// program
+    /// command that each task runs
     #[argh(option)]
     pub command: String,
     /// declared run time, such as 2h
     #[argh(option)]
     pub run_time: Option<String>,
-    /// give up when it has not started whole after this time
+    /// time after which the job is abandoned unless all of its tasks have started
     #[argh(option)]
     pub deadline: Option<String>,
     /// region; the entry's own by default
     #[argh(option)]
     pub region: Option<String>,
-    /// idempotency key: a submission with the same key finds the same job
+    /// idempotency key: another submission with the same key finds the same job
     #[argh(option)]
     pub key: Option<String>,
-    /// urgent
+    /// submit an urgent job
     #[argh(switch)]
     pub urgent: bool,
     /// the job may run more than once
     #[argh(switch)]
     pub idempotent: bool,
-    /// wait until it has ended
+    /// wait until the job has ended
     #[argh(switch)]
     pub wait: bool,
 }
@@ -220,7 +221,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
 pub struct Wait {
-    /// job
+    /// identifier of the job
     #[argh(positional)]
     pub job: String,
 }
@@ -229,7 +230,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cancel")]
 pub struct Cancel {
-    /// job
+    /// identifier of the job
     #[argh(positional)]
     pub job: String,
 }
@@ -238,7 +239,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub struct List {
-    /// only this organisation's
+    /// list only jobs of this organisation
     #[argh(option)]
     pub organisation: Option<String>,
     /// region; the entry's own by default
@@ -246,11 +247,11 @@
     pub region: Option<String>,
 }
 
-/// Say why a job waits, or how it ended.
+/// Explain why a job is waiting, or how it ended.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
-    /// job
+    /// identifier of the job
     #[argh(positional)]
     pub job: String,
 }
@@ -265,7 +266,7 @@
 #[argh(subcommand, name = "minions")]
 pub struct Minions {}
 
-/// Show organisations and what they hold.
+/// Show organisations with their quotas and guarantees.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "organisations")]
 pub struct Organisations {}
--- a/crates/sapphirectl/src/client.rs
+++ b/crates/sapphirectl/src/client.rs
@@ -1,14 +1,14 @@
-//! HTTP client of the entries.
+//! HTTP client for the entries.
 
 use std::{net::SocketAddr, time::Duration};
 
 use eyre::{WrapErr as _, bail, ensure};
 use serde_json::Value;
 
-/// Longest wait for an answer.
+/// Time-out of a call to one entry.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Talks to the first entry that answers.
+/// Client that tries the entries in order until one answers.
 pub struct Client {
     entries: Vec<SocketAddr>,
     agent: ureq::Agent,
@@ -16,44 +16,45 @@
 
 /// An entry's answer.
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Body as JSON; a string if it is not JSON.
     pub body: Value,
 }
 
 impl Answer {
-    /// Whether the status says success.
+    /// Returns whether the status is 2xx.
     pub fn is_ok(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Reason in words; empty when there is none.
+    /// Returns the reason in the body; empty if there is none.
     pub fn reason(&self) -> &str {
         self.body["reason"].as_str().unwrap_or_default()
     }
 }
 
-/// A call to make.
+/// A call to an entry.
 #[derive(Default)]
 pub struct Call<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: &'a str,
-    /// Headers.
+    /// Names and values of headers.
     pub headers: &'a [(&'a str, String)],
-    /// Body.
+    /// Body; empty for none.
     pub body: String,
-    /// Going to a second entry can't do harm when the first did not answer.
+    /// Whether the call may be sent to another entry although the first one may have carried it out
+    /// without answering.
     pub is_repeatable: bool,
 }
 
 impl Client {
-    /// A client of the given entries.
+    /// Creates a client for the entries at the given addresses.
     ///
     /// # Errors
-    /// When an address can't be read.
+    /// If an address is not of the form ip:port.
     pub fn new(entries: &[String]) -> eyre::Result<Self> {
         let parse = |text: &String| {
             text.parse().wrap_err_with(|| format!("--entry {text}: must be an address, ip:port"))
@@ -67,21 +68,21 @@
         Ok(Client { entries, agent: config.into() })
     }
 
-    /// Reads something.
+    /// Sends a GET request.
     ///
     /// # Errors
-    /// When no entry answers.
+    /// If no entry answers.
     pub fn get(&self, path: &str) -> eyre::Result<Answer> {
         self.call(&Call { method: "GET", path, is_repeatable: true, ..Call::default() })
     }
 
-    /// Makes a call.
+    /// Sends a call to the first entry that answers.
     ///
     /// # Errors
-    /// When no entry answers; for a call that must not be repeated, when the first one reached
-    /// did not.
+    /// If no entry answers. For a call that is not repeatable, also if an entry that the call may
+    /// have reached does not answer.
     pub fn call(&self, call: &Call<'_>) -> eyre::Result<Answer> {
-        ensure!(!self.entries.is_empty(), "give --entry, the address of an entry");
+        ensure!(!self.entries.is_empty(), "no entry is given: pass its address with --entry");
         let mut failures = Vec::new();
         for entry in &self.entries {
             match self.send(entry, call) {
@@ -117,7 +118,7 @@
     }
 }
 
-/// Whether the entry can't have seen the call.
+/// Returns whether the entry can't have received the call.
 fn is_unsent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => error.kind() == std::io::ErrorKind::ConnectionRefused,
--- a/crates/sapphirectl/src/job.rs
+++ b/crates/sapphirectl/src/job.rs
@@ -1,4 +1,4 @@
-//! `job submit|wait|cancel|list|explain`.
+//! Commands `job submit|wait|cancel|list|explain`.
 
 use serde_json::{Value, json};
 
@@ -11,10 +11,10 @@
 const COLUMNS: [&str; 7] =
     ["id", "organisation", "state", "attempts", "guaranteed", "agents", "reason"];
 
-/// Runs one command.
+/// Runs a `job` command and returns the exit code.
 ///
 /// # Errors
-/// When no entry answers.
+/// If no entry answers.
 pub fn run(client: &Client, job: &args::Job, json: bool) -> eyre::Result<i32> {
     match &job.command {
         JobCommand::Submit(submit) => run_submit(client, submit, json),
@@ -60,7 +60,8 @@
     if let Some(memory) = &submit.memory {
         body["shape"]["memory"] = Value::String(memory.clone());
     }
-    // With a key a repeated submission finds the same job; without one it could make a second.
+    // With a key a repeated submission finds the same job; without one it could create a second
+    // job.
     let call = Call {
         method: "POST",
         path: "/v1/jobs",
@@ -77,7 +78,8 @@
     Ok(show(&answer, json))
 }
 
-/// Waits in several calls, so that the loss of an entry costs no more than one of them.
+/// Waits until a job has ended, in calls of at most 5 s each, so that the failure of an entry costs
+/// at most one of them. Prints the state of the job whenever it changes.
 fn run_wait(client: &Client, job: &str, json: bool) -> eyre::Result<i32> {
     let mut last = String::new();
     loop {
@@ -112,7 +114,7 @@
     Ok(if answer.is_ok() { exit::OK } else { exit::FAILURE })
 }
 
-/// Prints one job or refusal and tells the exit code.
+/// Prints a job, or the reason why the request was refused, and returns the exit code.
 fn show(answer: &Answer, json: bool) -> i32 {
     if json {
         println!("{}", answer.body);
--- a/crates/sapphirectl/src/look.rs
+++ b/crates/sapphirectl/src/listing.rs
@@ -1,4 +1,4 @@
-//! `workers`, `minions` and `organisations`.
+//! Commands `workers`, `minions` and `organisations`.
 
 use serde_json::Value;
 
@@ -10,10 +10,10 @@
     ["name", "service", "region", "zone", "slots", "free", "draining", "heard"];
 const ORGANISATIONS: [&str; 5] = ["name", "weight", "priority", "quota", "queue"];
 
-/// Shows one list.
+/// Prints the list `what`: `workers`, `minions` or `organisations`.
 ///
 /// # Errors
-/// When no entry answers.
+/// If no entry answers.
 pub fn run(client: &Client, what: &str, json: bool) -> eyre::Result<i32> {
     let answer = client.get(&format!("/v1/{what}"))?;
     if json {
--- a/crates/sapphirectl/src/main.rs
+++ b/crates/sapphirectl/src/main.rs
@@ -1,10 +1,10 @@
-//! The operators' command line.
+//! Command line for operators: rules, jobs, the state of the fleet, and reports on logs.
 
 mod args;
 mod client;
 mod exit;
 mod job;
-mod look;
+mod listing;
 mod report;
 mod rules;
 mod table;
@@ -26,9 +26,9 @@
     match &args.command {
         args::Command::Rules(rules) => rules::run(&client()?, rules, json),
         args::Command::Job(job) => job::run(&client()?, job, json),
-        args::Command::Workers(_) => look::run(&client()?, "workers", json),
-        args::Command::Minions(_) => look::run(&client()?, "minions", json),
+        args::Command::Workers(_) => listing::run(&client()?, "workers", json),
+        args::Command::Minions(_) => listing::run(&client()?, "minions", json),
         args::Command::Report(report) => report::run(report, json),
-        args::Command::Organisations(_) => look::run(&client()?, "organisations", json),
+        args::Command::Organisations(_) => listing::run(&client()?, "organisations", json),
     }
 }
--- a/crates/sapphirectl/src/report.rs
+++ b/crates/sapphirectl/src/report.rs
@@ -1,13 +1,16 @@
-//! `report`: from the programs' logs.
+//! Command `report`: wasted work and late jobs, from the logs of all programs.
 
 use std::fs;
 
 use eyre::WrapErr as _;
-use sapphire_ledger::{book::Book, chart, report::Report, text};
+use sapphire_ledger::{chart, history::History, report::Report, text};
 
 use crate::{args, exit};
 
-/// Reads the logs and prints the report.
+/// Reads the logs, writes the timeline if one is requested, and prints the report.
+///
+/// # Errors
+/// If a log can't be read, or the timeline can't be drawn or written.
 pub fn run(args: &args::Report, json: bool) -> eyre::Result<i32> {
     if args.logs.is_empty() {
         println!("no log file is given");
@@ -18,17 +21,17 @@
         let bytes = fs::read(path).wrap_err_with(|| format!("{} can't be read", path.display()))?;
         texts.push(String::from_utf8_lossy(&bytes).into_owned());
     }
-    let book = Book::read(texts.iter().flat_map(|text| text.lines()));
-    if book.span.is_none() {
-        println!("none of {} lines can be read as a log of sapphired", book.lines);
+    let history = History::read(texts.iter().flat_map(|text| text.lines()));
+    if history.span.is_none() {
+        println!("none of {} lines can be read as a log of sapphired", history.lines);
         return Ok(exit::FINDINGS);
     }
     if let Some(path) = &args.svg {
-        let picture = chart::draw(&book).map_err(|error| eyre::eyre!("{error}"))?;
+        let picture = chart::draw(&history).map_err(|error| eyre::eyre!("{error}"))?;
         fs::write(path, picture)
             .wrap_err_with(|| format!("{} can't be written", path.display()))?;
     }
-    let report = Report::new(&book);
+    let report = Report::new(&history);
     if json {
         println!("{}", serde_json::to_string_pretty(&report)?);
     } else {
--- a/crates/sapphirectl/src/rules.rs
+++ b/crates/sapphirectl/src/rules.rs
@@ -1,4 +1,4 @@
-//! `rules check|diff|apply|show|history|status`.
+//! Commands `rules check|diff|apply|show|history|status`.
 
 use std::{
     env, fs,
@@ -17,14 +17,16 @@
     exit, table,
 };
 
-/// Longest wait for rules to be in force everywhere.
-const MAX_WAIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(200);
+/// Time after which `rules apply --wait` stops waiting for the rules to be in force in all
+/// processes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two queries of the status while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs one command.
+/// Runs a `rules` command and returns the exit code.
 ///
 /// # Errors
-/// When a file can't be read or no entry answers.
+/// If a file can't be read or no entry answers.
 pub fn run(client: &Client, rules: &args::Rules, json: bool) -> eyre::Result<i32> {
     match &rules.command {
         RulesCommand::Check(check) => run_check(client, check, json),
@@ -43,7 +45,7 @@
 fn run_check(client: &Client, check: &args::Check, json: bool) -> eyre::Result<i32> {
     let text = read(&check.file)?;
     if let Err(findings) = file::File::parse(&text) {
-        print_local(&findings, json);
+        print_parse_findings(&findings, json);
         return Ok(exit::FINDINGS);
     }
     if check.offline {
@@ -66,14 +68,16 @@
     Ok(if is_clean { exit::OK } else { exit::FINDINGS })
 }
 
-fn print_local(findings: &[finding::Finding], json: bool) {
+fn print_parse_findings(findings: &[finding::Finding], json: bool) {
     if !json {
         print!("{}", finding::report(findings));
         return;
     }
     let list: Vec<Value> = findings
         .iter()
-        .map(|f| json!({ "line": f.line, "column": f.column, "message": f.message }))
+        .map(
+            |found| json!({ "line": found.line, "column": found.column, "message": found.message }),
+        )
         .collect();
     println!("{}", json!({ "findings": list }));
 }
@@ -107,7 +111,7 @@
     let call = Call { method: "PUT", path, headers: &headers, body: text, is_repeatable: false };
     let answer = client.call(&call)?;
     if !answer.is_ok() {
-        return Ok(refused(&answer, json));
+        return Ok(print_refusal(&answer, json));
     }
     let revision = answer.body["revision"].as_u64().unwrap_or(0);
     if json {
@@ -118,7 +122,8 @@
     if apply.wait { wait(client, revision) } else { Ok(exit::OK) }
 }
 
-fn refused(answer: &Answer, json: bool) -> i32 {
+/// Prints why a change of the rules was refused, and returns the exit code.
+fn print_refusal(answer: &Answer, json: bool) -> i32 {
     print_findings(answer, json);
     eprintln!("{}", answer.reason());
     if let Some(diff) = answer.body["diff"].as_str().filter(|_| !json) {
@@ -131,9 +136,9 @@
     }
 }
 
-/// Waits until no process heard of has an older revision in force, and shows progress.
+/// Waits until no known process has an older revision in force, and prints progress.
 fn wait(client: &Client, revision: u64) -> eyre::Result<i32> {
-    let since = Instant::now();
+    let started_at = Instant::now();
     loop {
         let answer = client.get("/v1/rules/status")?;
         let (mut current, mut older) = (0, 0);
@@ -149,11 +154,11 @@
         if older == 0 {
             return Ok(exit::OK);
         }
-        if since.elapsed() > MAX_WAIT {
-            eprintln!("not yet in force everywhere; `rules status` tells where");
+        if started_at.elapsed() > WAIT_TIMEOUT {
+            eprintln!("not yet in force everywhere; `rules status` shows where");
             return Ok(exit::FAILURE);
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -193,11 +198,11 @@
     let none = Vec::new();
     let rows = answer.body["in_force"].as_array().unwrap_or(&none);
     table::print(&["revision", "count", "processes"], rows);
-    for short in answer.body["short"].as_array().into_iter().flatten() {
+    for unmet in answer.body["short"].as_array().into_iter().flatten() {
         println!(
-            "short: line {}: {}",
-            short["line"],
-            short["message"].as_str().unwrap_or_default()
+            "unmet guarantee: line {}: {}",
+            unmet["line"],
+            unmet["message"].as_str().unwrap_or_default()
         );
     }
     Ok(exit::OK)
--- a/crates/sapphirectl/src/table.rs
+++ b/crates/sapphirectl/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people.
+//! Plain-text tables.
 
 use serde_json::Value;
 
-/// Text of one cell.
+/// Formats the value of one cell.
 fn text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
@@ -12,7 +12,8 @@
     }
 }
 
-/// Prints rows with aligned columns.
+/// Prints a header and one line for each row, with aligned columns. The columns are keys of the
+/// rows.
 pub fn print(columns: &[&str], rows: &[Value]) {
     let mut lines = vec![columns.iter().map(|name| name.to_uppercase()).collect::<Vec<_>>()];
     for row in rows {
--- a/crates/sapphirectl/tests/sapphirectl.rs
+++ b/crates/sapphirectl/tests/sapphirectl.rs
@@ -1,26 +1,26 @@
-//! The command line without an entry: exit codes and what people and programs read.
+//! Command line without a running entry: exit codes and output.
 
 use std::{fs, path::PathBuf, process::Command};
 
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&path, text).expect("the scratch folder is writable");
+    fs::write(&path, text).expect("the temporary directory is writable");
     path
 }
 
-/// Exit code, standard output and standard error.
+/// Runs the command line and returns its exit code, standard output and standard error as one text.
 fn run(args: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_sapphirectl"))
         .args(args)
         .output()
-        .expect("it was built for this test");
+        .expect("cargo builds the binary for this test");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let code = output.status.code().unwrap_or(-1);
     format!("exit {code}\n{}{}", text(&output.stdout), text(&output.stderr))
 }
 
 #[test]
-fn a_file_with_faults_is_reported_whole() {
+fn all_findings_in_a_file_are_reported() {
     let path = file("faults.txt", "organisation a\nquota b accelerators=x # Rui\n");
     let path = path.to_str().expect("the path is text");
     insta::assert_snapshot!(run(&["rules", "check", "--offline", path]));
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn a_good_file_has_no_findings() {
+fn a_valid_file_has_no_findings() {
     let path = file("good.txt", "organisation a # Ines\n");
     let path = path.to_str().expect("the path is text");
     insta::assert_snapshot!(run(&["rules", "check", "--offline", path]));
 }
 
-/// The entry's address is wrong, or nobody listens there. The operator is told which, and that
-/// nothing was done; no panic and no wait.
+/// No entry is given, its address is malformed, or nothing listens there. The command fails at once
+/// with a message that names the cause, without a panic.
 #[test]
-fn an_entry_that_can_not_be_reached_is_said_so() {
+fn an_unreachable_entry_is_reported() {
     insta::assert_snapshot!(run(&["--entry", "here", "workers"]));
     insta::assert_snapshot!(run(&["workers"]));
     let refused = run(&["--entry", "127.0.0.1:1", "job", "cancel", "norte.x"]);
@@ -51,9 +51,10 @@
     insta::assert_snapshot!(run(&["rules", "apply", "--help"]));
 }
 
-/// An operator names an empty file, one of other text, or none: a message and a documented code.
+/// A report on an empty file, a file of other text, a missing file or no file at all ends with a
+/// message and a documented exit code.
 #[test]
-fn a_report_on_nothing_says_so() {
+fn a_report_without_readable_lines_fails() {
     let path = |name, text| file(name, text).to_str().expect("the path is text").to_owned();
     let empty = run(&["report", &path("empty.log", "")]);
     let other = run(&["report", &path("other.log", "hello\nworld\n")]);
