--- a/crates/planner/src/commit.rs
+++ b/crates/planner/src/commit.rs
@@ -1,4 +1,4 @@
-//! Progress that is made durable, and what waits for it.
+//! Writes progress of jobs to the store, and handles the replies of the store.
 
 use std::time::Duration;
 
@@ -13,43 +13,44 @@
     keys::{self, Key},
     options,
     planner::Planner,
-    table::Haste,
+    table::Urgency,
 };
 
-/// Jobs whose progress one write carries, within the 32 rows that the store takes.
-const JOBS_AT_ONCE: usize = 12;
+/// Maximum number of jobs in one write, given the store's limit of 32 rows.
+const MAX_WRITTEN_JOBS: usize = 12;
 
 impl Planner {
-    /// Writes progress if somebody waits for it or some has waited long enough.
+    /// Writes progress if some of it is due.
     pub(crate) fn write_progress(&mut self, now: Moment) {
         let is_busy = self.commits.is_writing || now.steady < self.commits.retry_at;
         if is_busy || !self.startup.is_serving() {
             return;
         }
-        let mut dirty: Vec<(Haste, Duration, &JobId)> = (self.table.entries.iter())
-            .filter_map(|(id, entry)| entry.dirty.map(|dirty| (dirty.haste, dirty.due, id)))
+        let mut dirty: Vec<(Urgency, Duration, &JobId)> = (self.table.entries.iter())
+            .filter_map(|(id, entry)| entry.dirty.map(|dirty| (dirty.urgency, dirty.due, id)))
             .collect();
         dirty.sort_unstable();
         if !dirty.iter().any(|(_, due, _)| now.steady >= *due) {
             return;
         }
         let jobs: Vec<JobId> =
-            dirty.into_iter().take(JOBS_AT_ONCE).map(|(_, _, id)| id.clone()).collect();
+            dirty.into_iter().take(MAX_WRITTEN_JOBS).map(|(_, _, id)| id.clone()).collect();
         self.commits.is_writing = true;
         let call = self.progress_call(&jobs);
         let numbers = jobs.into_iter().map(|id| {
-            let changes = self.table.entries.get(&id).map_or(0, |entry| entry.changes);
-            (id, changes)
+            let change = self.table.entries.get(&id).map_or(0, |entry| entry.last_change);
+            (id, change)
         });
         let operation = Operation::Progress(numbers.collect());
-        self.out.push(Effect::Store(operation, call));
+        self.effects.push(Effect::Store(operation, call));
     }
 
-    /// The write is bound to the planner's key and to each job's latest revision.
+    /// Builds the write, which is conditional on the planner's key and on the latest revision of
+    /// each job's progress.
     ///
-    /// Guards against a write that is carried out late, after its answer was given up: it would
-    /// put older progress over newer, and a done task would start again. And against a planner
-    /// that was replaced without knowing it.
+    /// Guards against a write that is carried out late, after its reply was abandoned: it would
+    /// overwrite newer progress, and a task that is done would start again. Also guards against a
+    /// planner that has been replaced without knowing it.
     fn progress_call(&self, jobs: &[JobId]) -> Call {
         let mut conditions = vec![Condition { key: keys::LEAD.to_owned(), revision: self.term }];
         let mut puts = Vec::new();
@@ -63,50 +64,53 @@
         Call::Commit { conditions, puts, removes: Vec::new() }
     }
 
+    /// Handles the reply to a write of progress.
     pub(crate) fn progress_written(&mut self, now: Moment, jobs: Vec<(JobId, u64)>, reply: Reply) {
         self.commits.is_writing = false;
         match reply {
             Reply::Committed(revision) => {
-                for (id, changes) in jobs {
-                    self.committed(&id, changes, revision);
+                for (id, change) in jobs {
+                    self.progress_committed(&id, change, revision);
                 }
             }
             Reply::Refused(items) => {
                 if !self.is_deposed_by(&items) {
-                    self.reread(&jobs, &items);
+                    self.adopt_revisions(&jobs, &items);
                 }
             }
-            _ => self.commits.retry_at = now.steady + options::RETRY,
+            _ => self.commits.retry_at = now.steady + options::RETRY_DELAY,
         }
     }
 
-    fn committed(&mut self, id: &str, changes: u64, revision: u64) {
+    /// Records that a change of a job's progress is durable.
+    fn progress_committed(&mut self, id: &str, change: u64, revision: u64) {
         let Some(entry) = self.table.entries.get_mut(id) else { return };
         entry.revision = revision;
-        entry.committed = entry.committed.max(changes);
-        if entry.committed == entry.changes {
+        entry.committed_change = entry.committed_change.max(change);
+        if entry.committed_change == entry.last_change {
             entry.dirty = None;
         }
         let state = entry.state;
-        let is_whole = entry.committed == entry.changes;
-        if is_whole && entry.is_over() {
+        let is_durable = entry.committed_change == entry.last_change;
+        if is_durable && entry.is_over() {
             self.log(format!("job={id} state={} is durable", state.as_str_name()));
-            self.table.show(id, state);
+            self.table.report_state(id, state);
         }
     }
 
-    /// An earlier write of this term, whose answer was lost, has been carried out.
-    fn reread(&mut self, jobs: &[(JobId, u64)], items: &[Item]) {
+    /// Adopts the revisions in the store after a refused write: an earlier write of this term,
+    /// whose reply was lost, has been carried out.
+    fn adopt_revisions(&mut self, jobs: &[(JobId, u64)], items: &[Item]) {
         for (id, _) in jobs {
-            let found = items.iter().find(|item| keys::read(&item.key) == Key::Progress(id));
+            let found = items.iter().find(|item| keys::parse(&item.key) == Key::Progress(id));
             if let Some(entry) = self.table.entries.get_mut(id) {
                 entry.revision = found.map_or(0, |item| item.revision);
             }
         }
     }
 
-    /// Removes what is kept of jobs that ended long ago.
-    pub(crate) fn forget(&mut self, jobs: Vec<JobId>) {
+    /// Removes the records of jobs that ended long ago.
+    pub(crate) fn remove_jobs(&mut self, jobs: Vec<JobId>) {
         if jobs.is_empty() {
             return;
         }
@@ -115,23 +119,23 @@
             .collect();
         let conditions = vec![Condition { key: keys::LEAD.to_owned(), revision: self.term }];
         for id in &jobs {
-            self.table.forget(id);
+            self.table.remove(id);
         }
         let call = Call::Commit { conditions, puts: Vec::new(), removes };
-        self.out.push(Effect::Store(Operation::Forget(jobs), call));
+        self.effects.push(Effect::Store(Operation::Forget(jobs), call));
     }
 
-    /// Takes an answer of the store.
-    pub(crate) fn stored(&mut self, now: Moment, operation: Operation, reply: Reply) {
+    /// Handles a reply of the store.
+    pub(crate) fn handle_reply(&mut self, now: Moment, operation: Operation, reply: Reply) {
         match operation {
-            Operation::Scan => self.scanned(now, reply),
+            Operation::Scan => self.handle_scan(now, reply),
             Operation::Fleet => self.fleet_written(now, reply),
             Operation::Progress(jobs) => self.progress_written(now, jobs, reply),
             Operation::Unanswered => self.unanswered_written(now, reply),
-            Operation::Intake => self.intake_read(now, reply),
+            Operation::Intake => self.handle_intake(now, reply),
             Operation::Forget(jobs) => {
                 if !matches!(reply, Reply::Committed(_)) {
-                    // The next planner finds them and removes them in its turn.
+                    // The next planner finds these jobs and removes them.
                     self.log(format!("{} ended jobs were not removed from the store", jobs.len()));
                 }
             }
