--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -239,7 +239,7 @@
 
     /// Stops planning if the lease on the leader key could not be renewed in time: at once when
     /// other entries reach the store, since one of them holds the key or will soon; otherwise after
-    /// [`planner::OUTAGE`].
+    /// [`planner::MAX_STORE_OUTAGE`].
     pub fn check_outage(
         &mut self,
         now: Duration,
