--- a/crates/proofs/src/jobs/world/entries.rs
+++ b/crates/proofs/src/jobs/world/entries.rs
@@ -75,7 +75,7 @@
                     let event = planner::event::Event::Notice(*notice);
                     self.after(latency, Action::Planner(other, life, event));
                 }
-                Effect::AskLead { address } => {
+                Effect::QueryLeader { address } => {
                     let Some(other) = Self::entry_of(&address) else { continue };
                     let latency = self.latency(region, self.entries[other].region);
                     let asker = Asker::Entry(entry);
@@ -84,7 +84,7 @@
                 Effect::Catalog(catalog) => {
                     self.tell_planner(entry, life, planner::event::Event::Catalog(catalog));
                 }
-                Effect::Fresh { revision, at } => {
+                Effect::CatalogVerified { revision, at } => {
                     let event = planner::event::Event::CatalogVerified { revision, at };
                     self.tell_planner(entry, life, event);
                 }
@@ -150,14 +150,14 @@
     }
 
     pub(super) fn announce(&mut self, entry: usize, addresses: &[String]) {
-        let Some(lead) = self.entries[entry].front.lead().cloned() else { return };
+        let Some(lead) = self.entries[entry].front.leader().cloned() else { return };
         for address in addresses {
             let Some(agent) = address.strip_prefix('a').and_then(|text| text.parse().ok()) else {
                 continue;
             };
             let node: &AgentNode = &self.agents[agent];
             let latency = self.latency(self.entries[entry].region, node.region);
-            let event = runner::event::Event::Lead(lead.clone());
+            let event = runner::event::Event::Leader(lead.clone());
             let life = node.life;
             if !node.is_cut {
                 self.after(latency, Action::Runner(agent, life, event));
@@ -176,7 +176,7 @@
         let latency = self.latency(region, self.agents[agent].region);
         let event = match orders {
             Some(orders) => runner::event::Event::Orders(ticket, Box::new(orders)),
-            None => runner::event::Event::NoOrders { ticket, is_declined: true },
+            None => runner::event::Event::PollFailed { ticket, is_declined: true },
         };
         self.after(latency, Action::Runner(agent, life, event));
     }
@@ -249,16 +249,16 @@
         if !node.is_up || self.now < node.frozen_until {
             return;
         }
-        let Some(lead): Option<Lead> = node.front.lead().cloned() else { return };
+        let Some(lead): Option<Lead> = node.front.leader().cloned() else { return };
         match asker {
             Asker::Entry(asking) => {
                 let latency = self.latency(node.region, self.entries[asking].region);
-                let event = front::event::Event::Lead(lead);
+                let event = front::event::Event::Leader(lead);
                 self.after(latency, Action::Front(asking, life, event));
             }
             Asker::Agent(agent) => {
                 let latency = self.latency(node.region, self.agents[agent].region);
-                let event = runner::event::Event::Lead(lead);
+                let event = runner::event::Event::Leader(lead);
                 if !self.agents[agent].is_cut {
                     self.after(latency, Action::Runner(agent, life, event));
                 }
