--- a/crates/sapphired/src/jobs_entry/effects.rs
+++ b/crates/sapphired/src/jobs_entry/effects.rs
@@ -40,7 +40,7 @@
                 let id = inner::call(hub, &address, "POST", inner::NOTICE, &*notice, SHORT_TIMEOUT);
                 self.calls.extend(id.map(|id| (id, Pending::Told)));
             }
-            Effect::AskLead { address } => {
+            Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
                 let id = inner::call(hub, &address, "GET", inner::LEAD, &(), SHORT_TIMEOUT);
                 self.calls.extend(id.map(|id| (id, Pending::Lead)));
@@ -49,7 +49,7 @@
                 self.catalog = catalog.clone();
                 self.planner_event(now, planner::event::Event::Catalog(catalog));
             }
-            Effect::Fresh { revision, at } => {
+            Effect::CatalogVerified { revision, at } => {
                 self.planner_event(now, planner::event::Event::CatalogVerified { revision, at });
             }
             Effect::Plan(term) => {
@@ -93,7 +93,7 @@
     }
 
     fn announce(&mut self, addresses: &[String]) {
-        let Some(lead) = self.front.lead().cloned() else { return };
+        let Some(lead) = self.front.leader().cloned() else { return };
         for address in addresses {
             let hub = &mut self.net.borrow_mut();
             let id = inner::call(hub, address, "POST", inner::LEAD, &lead, SHORT_TIMEOUT);
