--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -1,5 +1,4 @@
-//! Election of the leader, the entry that plans: acquires and renews the lease on the leader key,
-//! follows the leader that holds it, and polls the leader's feed.
+//! Who plans: this entry, while it holds the planner's key, or another.
 
 use std::time::Duration;
 
@@ -14,11 +13,10 @@
 
 use crate::{effect::Effect, event::Operation, machine::Machine, options};
 
-/// Longest delay of an acquisition because of the entry's distance to the store. An entry close to
-/// the store goes first, since a planner there makes the end of each run durable one trip between
-/// regions (40 ms) sooner.
+/// Longest time by which it waits for its distance to the store: an entry next to the store goes
+/// first, since a planner there makes each end durable a trip between regions (40 ms) sooner.
 const MAX_DISTANCE_DELAY: Duration = Duration::from_millis(80);
-/// Pause of the process after which its state as a planner counts as out of date.
+/// A pause of the process after which it does not trust its memory as a planner any more.
 const MAX_PAUSE: Duration = Duration::from_millis(900);
 
 impl Machine {
@@ -29,8 +27,8 @@
         self.drive_feed(now);
     }
 
-    /// Stops planning after the process was paused: another entry may have become the leader
-    /// meanwhile, and all that the planner knows of the workers is out of date.
+    /// Guards against a planner that was paused and goes on as if no time had passed: another
+    /// may have taken over, and everything it believes of workers is out of date.
     fn resign_after_pause(&mut self, now: Duration) {
         let paused = now.saturating_sub(self.leadership.last_event);
         let is_first = self.leadership.last_event.is_zero();
@@ -103,26 +101,24 @@
         }
     }
 
-    /// Whether the holder of the leader key is a previous process of this entry. Name and address
-    /// belong to one machine, where only one process at a time can listen at the address.
+    /// Whether the holder of the planner's key was this entry before its process started. Name and
+    /// address are one machine's, on which only one process can listen.
     fn is_previous_process(&self, leader: &Lead) -> bool {
         leader.name == self.options.name
             && leader.address == self.options.address
             && leader.generation != self.options.generation
     }
 
-    /// Releases the leader key that a previous process of this entry holds.
+    /// Frees the key that an earlier life of this entry holds.
     ///
-    /// Without this, no entry plans for about a second after each loss of power: the lease of the
-    /// process that has ended remains valid for up to 1.3 s.
+    /// Guards against a second without a planner after each loss of power: the lease of a life
+    /// that has ended runs on, up to 1.3 s, though its successor knows that nobody plans.
     fn release_previous(&mut self, term: Revision) {
         if self.leadership.released_term == term {
             return;
         }
         self.leadership.released_term = term;
-        self.log(format!(
-            "term={term} was held by a previous process of this entry; releasing the leader key"
-        ));
+        self.log(format!("term={term} was held by a previous process of this entry; releasing the leader key"));
         let conditions = vec![Condition { key: keys::LEAD.to_owned(), revision: term }];
         let removes = vec![keys::LEAD.to_owned()];
         let call = Call::Commit { conditions, puts: Vec::new(), removes };
@@ -136,7 +132,7 @@
         }
     }
 
-    /// Follows the leader with the highest term.
+    /// Follows whoever has the highest term.
     pub(crate) fn follow(&mut self, leader: Lead) {
         let known = self.leadership.leader.as_ref().map_or(0, |leader| leader.term);
         if leader.term < known {
@@ -160,7 +156,7 @@
         }
     }
 
-    /// The latest known leader.
+    /// Who plans, as far as is known.
     pub fn leader(&self) -> Option<&Lead> {
         self.leadership.leader.as_ref()
     }
@@ -169,9 +165,7 @@
         let distance = self.min_store_latency.min(MAX_DISTANCE_DELAY);
         let leadership = &mut self.leadership;
         let may_take = !leadership.is_terminating
-            && leadership
-                .vacant_since
-                .is_some_and(|since| now >= since + leadership.stagger + distance);
+            && leadership.vacant_since.is_some_and(|since| now >= since + leadership.stagger + distance);
         if let Some(call) = leadership.holder.poll(now, may_take) {
             leadership.lease_call_sent = now;
             self.effects.push(Effect::Store(Operation::LeaderLease, call));
@@ -185,10 +179,10 @@
             self.leadership.watch_from = 0;
         }
         match self.leadership.holder.reply(now, sent, reply) {
-            lease::Outcome::Same => {}
-            // The write was in flight when the process was asked to terminate.
-            lease::Outcome::Taken(_) if self.leadership.is_terminating => self.resign(),
-            lease::Outcome::Taken(term) => {
+            lease::Outcome::Unchanged => {}
+            // The write was under way when the process was told to end.
+            lease::Outcome::Acquired(_) if self.leadership.is_terminating => self.resign(),
+            lease::Outcome::Acquired(term) => {
                 self.leadership.vacant_since = None;
                 let leader = Lead {
                     name: self.options.name.clone(),
@@ -209,7 +203,7 @@
         }
     }
 
-    /// Stops planning and releases the leader key.
+    /// Gives up planning and the key.
     pub(crate) fn resign(&mut self) {
         if let Some(call) = self.leadership.holder.release() {
             self.effects.push(Effect::Store(Operation::LeaderRelease, call));
@@ -220,8 +214,7 @@
                 generation: self.options.generation,
             };
             let value = Bytes::from(value.encode_to_vec());
-            self.leadership.holder =
-                lease::Holder::new(keys::LEAD, value, self.options.leader_lease);
+            self.leadership.holder = lease::Holder::new(keys::LEAD, value, self.options.leader_lease);
         }
         if self.is_planning {
             self.is_planning = false;
@@ -229,7 +222,7 @@
         }
     }
 
-    /// Stops planning because the planner has found a write of a newer leader.
+    /// Another planner's write has been met.
     pub fn deposed(&mut self, now: Duration) -> Vec<Effect> {
         self.leadership.watch_from = 0;
         self.leadership.read_at = now;
@@ -237,9 +230,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Stops planning if the lease on the leader key could not be renewed in time: at once when
-    /// other entries reach the store, since one of them holds the key or will soon; otherwise after
-    /// [`planner::MAX_STORE_OUTAGE`].
+    /// Whether a planner whose key could not be renewed in time is to stop: at once when others
+    /// reach the store, since one of them has the key then or soon will; otherwise after a while.
     pub fn check_outage(
         &mut self,
         now: Duration,
@@ -258,8 +250,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Releases the leader key when the process terminates, so that the other entries need not wait
-    /// for its lease to expire.
+    /// The process ends: the key is handed back at once, so that nobody waits for it to lapse.
     pub(crate) fn terminate(&mut self) {
         self.leadership.is_terminating = true;
         self.resign();
