--- a/crates/agent/src/contact.rs
+++ b/crates/agent/src/contact.rs
@@ -54,7 +54,7 @@
         if let Some(contact) = self.known.get_mut(&peer.address) {
             contact.last_contact = now;
             contact.region = region.to_owned();
-            contact.needs_announcement |= !peer::is_same_life(&contact.peer, peer);
+            contact.needs_announcement |= !peer::is_same_process(&contact.peer, peer);
             contact.peer = peer.clone();
         }
     }
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -199,7 +199,7 @@
             .placement
             .agent
             .as_ref()
-            .is_some_and(|agent| peer::is_same_life(agent, from));
+            .is_some_and(|agent| peer::is_same_process(agent, from));
         let state = if is_same_process { reply.state() } else { TaskState::TaskUnknown };
         if attempt.phase == Phase::Resolving && state != TaskState::TaskRunning {
             assignment.final_state = Some(state);
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -123,7 +123,7 @@
         if previous.is_some_and(|agent| agent.peer.generation > from.generation) {
             return false;
         }
-        let is_new = previous.is_none_or(|agent| !peer::is_same_life(&agent.peer, from));
+        let is_new = previous.is_none_or(|agent| !peer::is_same_process(&agent.peer, from));
         let in_flight = previous.filter(|_| !is_new).map_or(0, |agent| agent.in_flight);
         let agent = Agent {
             peer: from.clone(),
@@ -148,7 +148,7 @@
     /// generations increase, so an earlier process never replaces a later one.
     pub fn heartbeat(&mut self, now: Duration, from: &Peer, heartbeat: &Heartbeat) -> bool {
         let Some(agent) = self.agents.get_mut(&from.name) else { return false };
-        if !peer::is_same_life(&agent.peer, from) {
+        if !peer::is_same_process(&agent.peer, from) {
             return agent.peer.generation > from.generation;
         }
         agent.last_contact = now;
@@ -190,7 +190,7 @@
     /// Whether this process of an agent has ended or been unreachable for long: another process of
     /// it has announced itself, or it has been removed.
     pub fn is_lost(&self, peer: &Peer) -> bool {
-        self.agents.get(&peer.name).is_none_or(|agent| !peer::is_same_life(&agent.peer, peer))
+        self.agents.get(&peer.name).is_none_or(|agent| !peer::is_same_process(&agent.peer, peer))
     }
 
     /// Removes agents that have been silent for too long, and returns their names.
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -85,7 +85,7 @@
                 self.handle_request(cx, caller, listener, &request);
             }
             Event::Net(NetEvent::Answer { call, result }) => self.handle_answer(cx, call, result),
-            Event::Net(NetEvent::Left(_)) => {}
+            Event::Net(NetEvent::Disconnected(_)) => {}
             Event::Net(NetEvent::NotAccepted { kind, .. }) => {
                 self.logger.info("net", &format!("a connection was not accepted: {kind}"));
             }
@@ -120,16 +120,16 @@
         request: &Request,
     ) {
         if listener == self.listeners.minion {
-            let response = match platform::minion::word(request) {
-                platform::minion::Word::Beat(beat) => {
+            let response = match platform::minion::notification(request) {
+                platform::minion::Notification::Heartbeat(beat) => {
                     self.handle_machine_event(cx, MachineEvent::Heartbeat(beat));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
-                platform::minion::Word::Leaves(id) => {
+                platform::minion::Notification::Deregistered(id) => {
                     self.handle_machine_event(cx, MachineEvent::Deregistered(id));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
-                platform::minion::Word::Unreadable(reason) => {
+                platform::minion::Notification::Malformed(reason) => {
                     self.logger.info("agent", &format!("call of a minion rejected: {reason}"));
                     Response::new(400, "{}")
                 }
--- a/crates/sapphired/src/jobs_entry/mod.rs
+++ b/crates/sapphired/src/jobs_entry/mod.rs
@@ -166,7 +166,7 @@
             Event::Net(NetEvent::Request { caller, listener, request }) => {
                 self.handle_request(now, caller, listener, request);
             }
-            Event::Net(NetEvent::Left(caller)) => {
+            Event::Net(NetEvent::Disconnected(caller)) => {
                 if let Some(active) = self.active_requests.remove(&caller) {
                     let text = format!("request={caller} {} caller disconnected", active.text);
                     self.logger.info("front", &text);
