--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -118,7 +118,9 @@
             return;
         }
         self.leadership.released_term = term;
-        self.log(format!("term={term} was held by a previous process of this entry; releasing the leader key"));
+        self.log(format!(
+            "term={term} was held by a previous process of this entry; releasing the leader key"
+        ));
         let conditions = vec![Condition { key: keys::LEAD.to_owned(), revision: term }];
         let removes = vec![keys::LEAD.to_owned()];
         let call = Call::Commit { conditions, puts: Vec::new(), removes };
@@ -165,7 +167,9 @@
         let distance = self.min_store_latency.min(MAX_DISTANCE_DELAY);
         let leadership = &mut self.leadership;
         let may_take = !leadership.is_terminating
-            && leadership.vacant_since.is_some_and(|since| now >= since + leadership.stagger + distance);
+            && leadership
+                .vacant_since
+                .is_some_and(|since| now >= since + leadership.stagger + distance);
         if let Some(call) = leadership.holder.poll(now, may_take) {
             leadership.lease_call_sent = now;
             self.effects.push(Effect::Store(Operation::LeaderLease, call));
@@ -214,7 +218,8 @@
                 generation: self.options.generation,
             };
             let value = Bytes::from(value.encode_to_vec());
-            self.leadership.holder = lease::Holder::new(keys::LEAD, value, self.options.leader_lease);
+            self.leadership.holder =
+                lease::Holder::new(keys::LEAD, value, self.options.leader_lease);
         }
         if self.is_planning {
             self.is_planning = false;
