--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,21 +1,21 @@
-//! Messages and settings, generated from the schema in `proto/`.
+//! Messages, stored records and settings, generated from the Protocol Buffers schema in `proto/`.
 //!
-//! The generated code is committed. `tests/schema/fresh.rs` regenerates and compares it;
-//! run that test with `SAPPHIRE_WRITE_SCHEMA=1` to write it anew.
+//! The generated code is committed. `tests/schema.rs` generates it again and fails if it differs;
+//! with `SAPPHIRE_WRITE_SCHEMA=1` in the environment, that test writes the generated code.
 
-/// Messages between processes, and what the store holds.
+/// Messages between entries and agents, and the records of the rules and of a cell in the store.
 #[allow(missing_docs, clippy::all)]
 #[rustfmt::skip]
 #[path = "generated/wire.rs"]
 pub mod wire;
 
-/// Settings of the daemon's two roles.
+/// Settings of the two roles of `sapphired`: entry and agent.
 #[allow(missing_docs, clippy::all)]
 #[rustfmt::skip]
 #[path = "generated/settings.rs"]
 pub mod settings;
 
-/// Jobs of steps and tasks: their records in the store, and messages about them.
+/// Jobs that consist of steps and tasks: their records in the store, and messages about them.
 #[allow(missing_docs, clippy::all)]
 #[rustfmt::skip]
 #[path = "generated/jobs.rs"]
