--- a/crates/proofs/examples/policy_jobs.rs
+++ b/crates/proofs/examples/policy_jobs.rs
@@ -8,7 +8,7 @@
     baseline::{self, Order},
     figures::{self, Figures},
     load::{self, Site},
-    sites, world,
+    simulation, sites,
 };
 
 /// Runs days of load and prints how callers were served: mean and standard error over the seeds.
@@ -83,36 +83,36 @@
     speeds: f64,
 }
 
-fn play(site: &Site, seed: u64, day: Day, setting: &Setting, story: bool) -> Figures {
+fn simulate(site: &Site, seed: u64, day: Day, setting: &Setting, story: bool) -> Figures {
     let arrivals = load::draw_declared(site, seed, LENGTH, day.scale, day.error);
     let policy = match setting {
-        Setting::Baseline(order) => return baseline::play(site, &arrivals, *order),
+        Setting::Baseline(order) => return baseline::simulate(site, &arrivals, *order),
         Setting::Policy(_, policy) => *policy,
     };
     let options =
-        world::Options { site, arrivals: arrivals.clone(), seed, policy, speeds: day.speeds };
-    let mut world = world::World::new(options);
-    world.retries = RETRIES;
-    world.run_until(FINISH);
+        simulation::Options { site, arrivals: arrivals.clone(), seed, policy, speeds: day.speeds };
+    let mut sim = simulation::Simulation::new(options);
+    sim.retries = RETRIES;
+    sim.run_until(FINISH);
     if story {
-        for line in &world.log {
+        for line in &sim.log {
             println!("{line}");
         }
     }
-    for broken in &world.broken {
-        println!("{} seed={seed}: {broken}", site.name);
+    for violation in &sim.violations {
+        println!("{} seed={seed}: {violation}", site.name);
     }
-    figures::figures(site, &arrivals, &world)
+    figures::figures(site, &arrivals, &sim)
 }
 
 /// Worth of a day as the users' weights have it.
-fn worth(day: &Figures) -> f64 {
-    let least = day.kinds.iter().copied().fold(1.0, f64::min);
-    (0.45 * day.mean + 0.5 * day.windows + 0.15 * least) / 1.1 - day.waste * WASTE_PRICE
+fn value(day: &Figures) -> f64 {
+    let min_share = day.kinds.iter().copied().fold(1.0, f64::min);
+    (0.45 * day.mean + 0.5 * day.windows + 0.15 * min_share) / 1.1 - day.waste * WASTE_PRICE
 }
 
 /// Plays all seeds, on a few threads.
-fn play_all(args: &Args, site: &Site, day: Day, setting: &Setting) -> Vec<Figures> {
+fn simulate_all(args: &Args, site: &Site, day: Day, setting: &Setting) -> Vec<Figures> {
     let seeds: Vec<u64> = (args.first..args.first + args.seeds).collect();
     let share = seeds.len().div_ceil(THREADS as usize).max(1);
     thread::scope(|scope| {
@@ -120,7 +120,9 @@
             .chunks(share)
             .map(|part| {
                 scope.spawn(move || -> Vec<Figures> {
-                    part.iter().map(|seed| play(site, *seed, day, setting, args.story)).collect()
+                    part.iter()
+                        .map(|seed| simulate(site, *seed, day, setting, args.story))
+                        .collect()
                 })
             })
             .collect();
@@ -131,8 +133,8 @@
 fn show(site: &Site, day: Day, setting: &Setting, figures: &[Figures]) {
     let count = figures.len() as f64;
     let mean = |of: &dyn Fn(&Figures) -> f64| figures.iter().map(of).sum::<f64>() / count;
-    let whole = mean(&worth);
-    let square = mean(&|it: &Figures| (worth(it) - whole).powi(2));
+    let whole = mean(&value);
+    let square = mean(&|it: &Figures| (value(it) - whole).powi(2));
     let error = day.error.map_or("usual".to_owned(), |error| format!("{error:.1}"));
     println!(
         "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {whole:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
@@ -193,7 +195,7 @@
     for site in sites.iter().filter(wanted) {
         for day in &days {
             for setting in &settings {
-                show(site, *day, setting, &play_all(&args, site, *day, setting));
+                show(site, *day, setting, &simulate_all(&args, site, *day, setting));
             }
         }
     }
--- a/crates/proofs/examples/recovery_jobs.rs
+++ b/crates/proofs/examples/recovery_jobs.rs
@@ -4,8 +4,9 @@
 
 use sapphire_plan::policy::Policy;
 use sapphire_proofs::jobs::{
-    load, sites,
-    world::{Options, World},
+    load,
+    simulation::{Options, Simulation},
+    sites,
 };
 
 /// When the planner is lost, from the first arrival.
@@ -13,25 +14,25 @@
 const SEEDS: u64 = 50;
 
 /// What happens to the entry that plans.
-type Fault = fn(&mut World, usize);
+type Fault = fn(&mut Simulation, usize);
 
 /// Time until a planner knows what runs where and starts tasks again; zero when the first one
 /// never stopped.
 fn gap(seed: u64, lose: Fault) -> Duration {
     let arrivals = load::draw(&sites::ATLANTICA, seed, Duration::from_secs(16), 1.0);
-    let mut world = World::new(Options {
+    let mut sim = Simulation::new(Options {
         site: &sites::ATLANTICA,
         arrivals,
         seed,
         policy: Policy::default(),
         speeds: 1.0,
     });
-    world.run_until(LOST_AT);
-    let planner = world.planning().expect("somebody plans");
-    lose(&mut world, planner);
-    world.run_until(LOST_AT + Duration::from_secs(12));
+    sim.run_until(LOST_AT);
+    let planner = sim.planner_entry().expect("somebody plans");
+    lose(&mut sim, planner);
+    sim.run_until(LOST_AT + Duration::from_secs(12));
     let ready = |line: &&String| line.contains("knows what earlier orders");
-    let times = world.log.iter().filter(ready).filter_map(|line| line.split(' ').next());
+    let times = sim.log.iter().filter(ready).filter_map(|line| line.split(' ').next());
     let mut times = times.filter_map(|time| time.parse::<f64>().ok());
     let after = times.find(|time| *time > LOST_AT.as_secs_f64());
     after.map_or(Duration::ZERO, |time| Duration::from_secs_f64(time - LOST_AT.as_secs_f64()))
@@ -39,9 +40,9 @@
 
 fn main() {
     let faults: [(&str, Fault); 3] = [
-        ("killed", |world, planner| world.kill_entry(planner, Duration::from_secs(3))),
-        ("frozen for 4 s", |world, planner| world.freeze_entry(planner, Duration::from_secs(4))),
-        ("cut off from the store", |world, planner| world.cut_store(planner, false)),
+        ("killed", |sim, planner| sim.kill_entry(planner, Duration::from_secs(3))),
+        ("frozen for 4 s", |sim, planner| sim.pause_entry(planner, Duration::from_secs(4))),
+        ("cut off from the store", |sim, planner| sim.set_store_reachable(planner, false)),
     ];
     for (name, lose) in faults {
         let mut gaps: Vec<Duration> = (1..=SEEDS).map(|seed| gap(seed, lose)).collect();
--- a/crates/proofs/src/jobs/baseline.rs
+++ b/crates/proofs/src/jobs/baseline.rs
@@ -1,4 +1,5 @@
-//! Two plain schedulers on the same load, as baselines: no stops, no faults, no messages.
+//! Two simple schedulers as baselines on the same load. They stop no task and know neither faults
+//! nor message delays.
 
 use std::time::Duration;
 
@@ -9,30 +10,30 @@
     load::{Arrival, Site},
 };
 
-/// How the queue is served.
+/// Order in which a baseline serves waiting groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// By arrival; whatever fits starts.
+    /// In order of arrival; every group that fits starts.
     FirstFit,
-    /// By arrival; what comes later starts only if it ends, as declared, before the first that
-    /// waits could start.
+    /// In order of arrival; once a group has to wait, a later one starts only if it ends, by its
+    /// declared run time, no later than the earliest declared end of a running group.
     Backfill,
 }
 
-/// A group that waits.
+/// Waiting group: all tasks of a gang, or a single task.
 #[derive(Clone, Copy, Debug)]
 struct Group {
     arrival: usize,
     tasks: u32,
 }
 
-/// A group that runs.
+/// Running group.
 #[derive(Clone, Debug)]
 struct Running {
     arrival: usize,
     end: Duration,
     declared_end: Duration,
-    seats: Vec<usize>,
+    workers: Vec<usize>,
 }
 
 struct Fleet<'a> {
@@ -40,102 +41,104 @@
     free: Vec<Resources>,
     running: Vec<Running>,
     waiting: Vec<Group>,
-    left: Vec<u32>,
+    unfinished: Vec<u32>,
     ended: Vec<Option<Duration>>,
 }
 
-/// Plays a day.
-pub fn play(site: &Site, arrivals: &[Arrival], order: Order) -> Figures {
+/// Simulates one run and returns its figures.
+pub fn simulate(site: &Site, arrivals: &[Arrival], order: Order) -> Figures {
     let workers: usize = site.workers.iter().sum();
     let mut fleet = Fleet {
         arrivals,
         free: vec![site.capacity; workers],
         running: Vec::new(),
         waiting: Vec::new(),
-        left: vec![0; arrivals.len()],
+        unfinished: vec![0; arrivals.len()],
         ended: vec![None; arrivals.len()],
     };
     let mut next = 0;
     loop {
         let end = fleet.running.iter().map(|run| run.end).min();
-        let arrives = arrivals.get(next).map(|arrival| arrival.at);
-        let Some(now) = end.into_iter().chain(arrives).min() else { break };
+        let next_arrival = arrivals.get(next).map(|arrival| arrival.at);
+        let Some(now) = end.into_iter().chain(next_arrival).min() else { break };
         while arrivals.get(next).is_some_and(|arrival| arrival.at <= now) {
-            fleet.arrive(next);
+            fleet.enqueue(next);
             next += 1;
         }
-        fleet.end_until(now);
-        fleet.start(now, order);
+        fleet.end_groups(now);
+        fleet.start_groups(now, order);
     }
     let ended = |arrival: &Arrival, _: State| {
         let at = arrivals.iter().position(|other| other.job.id == arrival.job.id)?;
         fleet.ended[at]
     };
-    figures::sum(site, &figures::credits_by(site, arrivals, ended), 0.0)
+    figures::summarize(site, &figures::credits_by(site, arrivals, ended), 0.0)
 }
 
 impl Fleet<'_> {
-    fn arrive(&mut self, arrival: usize) {
+    fn enqueue(&mut self, arrival: usize) {
         let step = &self.arrivals[arrival].job.steps[0];
         let groups = if step.is_gang { 1 } else { step.tasks };
         let tasks = if step.is_gang { step.tasks } else { 1 };
-        self.left[arrival] = groups;
+        self.unfinished[arrival] = groups;
         self.waiting.extend((0..groups).map(|_| Group { arrival, tasks }));
     }
 
-    fn end_until(&mut self, now: Duration) {
-        let (over, running): (Vec<Running>, Vec<Running>) =
+    fn end_groups(&mut self, now: Duration) {
+        let (finished, running): (Vec<Running>, Vec<Running>) =
             std::mem::take(&mut self.running).into_iter().partition(|run| run.end <= now);
         self.running = running;
-        for run in over {
-            let room = self.arrivals[run.arrival].truth[0].room;
-            for seat in run.seats {
-                self.free[seat] = self.free[seat].plus(room);
+        for run in finished {
+            let resources = self.arrivals[run.arrival].truth[0].resources;
+            for worker in run.workers {
+                self.free[worker] = self.free[worker].plus(resources);
             }
-            self.left[run.arrival] -= 1;
-            if self.left[run.arrival] == 0 {
+            self.unfinished[run.arrival] -= 1;
+            if self.unfinished[run.arrival] == 0 {
                 self.ended[run.arrival] = Some(run.end);
             }
         }
     }
 
-    fn start(&mut self, now: Duration, order: Order) {
-        let mut limit: Option<Duration> = None;
-        let mut kept = Vec::new();
+    fn start_groups(&mut self, now: Duration, order: Order) {
+        let mut backfill_deadline: Option<Duration> = None;
+        let mut still_waiting = Vec::new();
         for group in std::mem::take(&mut self.waiting) {
             let arrival = &self.arrivals[group.arrival];
             let declared_end = now + length::declared(&arrival.job.steps[0]);
-            let may_start = limit.is_none_or(|limit| declared_end <= limit);
-            let seats = if may_start {
-                seats(&self.free, arrival.truth[0].room, group.tasks)
+            let may_start =
+                backfill_deadline.is_none_or(|backfill_deadline| declared_end <= backfill_deadline);
+            let workers = if may_start {
+                find_workers(&self.free, arrival.truth[0].resources, group.tasks)
             } else {
                 None
             };
-            let Some(seats) = seats else {
-                if order == Order::Backfill && limit.is_none() {
-                    limit = self.running.iter().map(|run| run.declared_end.max(now)).min();
+            let Some(workers) = workers else {
+                if order == Order::Backfill && backfill_deadline.is_none() {
+                    backfill_deadline =
+                        self.running.iter().map(|run| run.declared_end.max(now)).min();
                 }
-                kept.push(group);
+                still_waiting.push(group);
                 continue;
             };
-            for seat in &seats {
-                self.free[*seat] = self.free[*seat].minus(arrival.truth[0].room);
+            for worker in &workers {
+                self.free[*worker] = self.free[*worker].minus(arrival.truth[0].resources);
             }
             let end = now + arrival.truth[0].work;
-            self.running.push(Running { arrival: group.arrival, end, declared_end, seats });
+            self.running.push(Running { arrival: group.arrival, end, declared_end, workers });
         }
-        self.waiting = kept;
+        self.waiting = still_waiting;
     }
 }
 
-/// The first workers that hold a group's tasks.
-fn seats(free: &[Resources], room: Resources, tasks: u32) -> Option<Vec<usize>> {
-    let mut seats = Vec::new();
+/// First workers on which a group's tasks fit; one index per task, `None` if they don't all fit.
+fn find_workers(free: &[Resources], resources: Resources, tasks: u32) -> Option<Vec<usize>> {
+    let mut workers = Vec::new();
     for (index, free) in free.iter().enumerate() {
-        let most = free.count_fitting(room).min(tasks - seats.len() as u32);
-        seats.extend((0..most).map(|_| index));
-        if seats.len() as u32 == tasks {
-            return Some(seats);
+        let count = free.count_fitting(resources).min(tasks - workers.len() as u32);
+        workers.extend((0..count).map(|_| index));
+        if workers.len() as u32 == tasks {
+            return Some(workers);
         }
     }
     None
--- a/crates/proofs/src/jobs/figures.rs
+++ b/crates/proofs/src/jobs/figures.rs
@@ -1,4 +1,5 @@
-//! How callers were served, counted as the users count it.
+//! Measures how well callers were served, by the users' own rules: the value of the jobs that were
+//! served in time, and the work that was wasted.
 
 use std::time::Duration;
 
@@ -7,67 +8,73 @@
 
 use super::{
     load::{Arrival, Site},
-    world::World,
+    simulation::Simulation,
 };
 
-/// Worth of one job, owed and earned.
+/// Value of one job: in full, and as far as it was earned.
 #[derive(Clone, Copy, Debug)]
 pub struct Credit {
-    /// When its caller came.
+    /// When its caller first submitted it, from the start of the load.
     pub at: Duration,
-    /// Kind, by index.
+    /// Index of its kind in [`Site::kinds`].
     pub kind: usize,
-    /// Owed.
-    pub owed: f64,
-    /// Earned.
+    /// Value that the job earns when it is served within its objective.
+    pub full_value: f64,
+    /// Value that it has earned.
     pub earned: f64,
-    /// It was served, but later than its objective.
+    /// Whether it was served later than its objective, but not too late to earn anything.
     pub is_late: bool,
 }
 
-/// Figures of a day.
+/// Figures of one simulated run.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Share of the worth earned.
+    /// Share of the full value that was earned.
     pub mean: f64,
-    /// The same in the two worst windows.
+    /// The same, as the mean of the two worst windows.
     pub windows: f64,
-    /// The same by kind.
+    /// The same for each kind of job.
     pub kinds: Vec<f64>,
-    /// Work thrown away, in processor seconds.
+    /// Work that was lost, in processor seconds.
     pub waste: f64,
 }
 
-/// Length of a window. The users name none; short enough to show one burst.
+/// Length of a window. The users specify none; this one is short enough to show a single burst.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn share(credits: &[Credit]) -> f64 {
-    let owed: f64 = credits.iter().map(|credit| credit.owed).sum();
-    if owed == 0.0 { 1.0 } else { credits.iter().map(|credit| credit.earned).sum::<f64>() / owed }
+    let full_value: f64 = credits.iter().map(|credit| credit.full_value).sum();
+    if full_value == 0.0 {
+        1.0
+    } else {
+        credits.iter().map(|credit| credit.earned).sum::<f64>() / full_value
+    }
 }
 
-/// Time within which the caller of a job wants it, with the waves that a wide step is allowed.
+/// Time within which the caller expects the job to be done; a step that is wider than the fleet
+/// is allowed as many waves as it needs.
 pub fn objective(site: &Site, arrival: &Arrival) -> Duration {
     let kind = &site.kinds[arrival.kind];
     let truth = &arrival.truth[0];
     let step = &arrival.job.steps[0];
     let workers: usize = site.workers.iter().sum();
-    let fits = u64::from(site.capacity.count_fitting(truth.room)) * workers as u64;
+    let fits = u64::from(site.capacity.count_fitting(truth.resources)) * workers as u64;
     let tasks = if step.is_gang { 1 } else { step.tasks };
     let waves = waves::allowed(waves::Width { tasks, fits });
     (truth.work * waves).mul_f64(kind.slack.0) + Duration::from_secs_f64(kind.slack.1)
 }
 
-/// Worth of each job that was not cancelled.
-pub fn credits(site: &Site, arrivals: &[Arrival], world: &World) -> Vec<Credit> {
-    credits_by(site, arrivals, |arrival, state| world.shown(&arrival.job.id, state))
+/// Value of each job that was not cancelled.
+pub fn credits(site: &Site, arrivals: &[Arrival], sim: &Simulation) -> Vec<Credit> {
+    credits_by(site, arrivals, |arrival, state| sim.reported_at(&arrival.job.id, state))
 }
 
-/// The same, given when each job came to an end, from the start of the load.
+/// The same, where `ended_at` returns when a job was reported in a final state, from the start of
+/// the load.
 pub fn credits_by(
     site: &Site,
     arrivals: &[Arrival],
-    shown: impl Fn(&Arrival, State) -> Option<Duration>,
+    ended_at: impl Fn(&Arrival, State) -> Option<Duration>,
 ) -> Vec<Credit> {
     let mean = |index: usize| {
         let same: Vec<f64> = (arrivals.iter())
@@ -81,29 +88,30 @@
     for arrival in arrivals.iter().filter(|arrival| arrival.cancel_after.is_none()) {
         let kind = &site.kinds[arrival.kind];
         let size = 0.3 + 0.7 * length::work(&arrival.job.steps) / means[arrival.kind];
-        let owed = kind.worth.0 * size.min(4.0);
+        let full_value = kind.value.0 * size.min(4.0);
         let objective = objective(site, arrival).as_secs_f64();
-        let wanted = if arrival.truth[0].always_fails { State::Failed } else { State::Complete };
-        let took = shown(arrival, wanted).map(|at| at.saturating_sub(arrival.at));
-        let share = match took.map(|took| took.as_secs_f64()) {
-            Some(took) if took <= objective => 1.0,
-            Some(took) if took <= 3.0 * objective => kind.worth.1 / kind.worth.0,
+        let expected_state =
+            if arrival.truth[0].always_fails { State::Failed } else { State::Complete };
+        let latency = ended_at(arrival, expected_state).map(|at| at.saturating_sub(arrival.at));
+        let share = match latency.map(|latency| latency.as_secs_f64()) {
+            Some(latency) if latency <= objective => 1.0,
+            Some(latency) if latency <= 3.0 * objective => kind.value.1 / kind.value.0,
             _ => 0.0,
         };
         let is_late = share > 0.0 && share < 1.0;
-        let earned = owed * share;
-        credits.push(Credit { at: arrival.at, kind: arrival.kind, owed, earned, is_late });
+        let earned = full_value * share;
+        credits.push(Credit { at: arrival.at, kind: arrival.kind, full_value, earned, is_late });
     }
     credits
 }
 
-/// Sums up a day.
-pub fn figures(site: &Site, arrivals: &[Arrival], world: &World) -> Figures {
-    sum(site, &credits(site, arrivals, world), world.waste())
+/// Computes the figures of a run.
+pub fn figures(site: &Site, arrivals: &[Arrival], sim: &Simulation) -> Figures {
+    summarize(site, &credits(site, arrivals, sim), sim.waste())
 }
 
-/// Sums up a day's credits.
-pub fn sum(site: &Site, credits: &[Credit], waste: f64) -> Figures {
+/// Computes the figures from the credits of a run.
+pub fn summarize(site: &Site, credits: &[Credit], waste: f64) -> Figures {
     let mut windows: Vec<f64> = (0..20_u32)
         .map(|index| {
             let span = WINDOW * index..WINDOW * (index + 1);
@@ -113,7 +121,7 @@
         })
         .collect();
     windows.sort_by(f64::total_cmp);
-    let of = |index: usize| {
+    let share_of_kind = |index: usize| {
         let same: Vec<Credit> =
             credits.iter().filter(|credit| credit.kind == index).copied().collect();
         share(&same)
@@ -121,7 +129,7 @@
     Figures {
         mean: share(credits),
         windows: (windows[0] + windows[1]) / 2.0,
-        kinds: (0..site.kinds.len()).map(of).collect(),
+        kinds: (0..site.kinds.len()).map(share_of_kind).collect(),
         waste,
     }
 }
--- a/crates/proofs/src/jobs/load.rs
+++ b/crates/proofs/src/jobs/load.rs
@@ -1,4 +1,5 @@
-//! Jobs as the users' sites see them: rates, sizes and run times fitted to their tables.
+//! Generates jobs like those of the users' sites: arrival rates, sizes and run times are fitted to
+//! their tables.
 
 use std::time::Duration;
 
@@ -8,80 +9,80 @@
 
 use super::minion::Truth;
 
-/// A kind of request.
+/// Kind of job.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Queue, also its name.
+    /// Its name, which is also that of its queue.
     pub name: &'static str,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Jobs a second.
+    /// Jobs per second.
     pub rate: f64,
-    /// What a job is worth within its objective, and late.
-    pub worth: (f64, f64),
-    /// Mean tasks of a step, and most.
+    /// Value of a job that is served within its objective, and of one that is late.
+    pub value: (f64, f64),
+    /// Number of tasks of a step: mean and maximum.
     pub width: (f64, f64),
-    /// Mean run time in seconds, relative spread, most.
-    pub work: (f64, f64, f64),
-    /// What a task takes beside accelerators.
-    pub room: Resources,
-    /// Accelerators of a task, drawn evenly.
+    /// Run time of a task: mean in seconds, relative spread, maximum in seconds.
+    pub run_time: (f64, f64, f64),
+    /// Resources of a task; the accelerators are drawn from `accelerators`.
+    pub resources: Resources,
+    /// Possible numbers of accelerators of a task, all equally likely.
     pub accelerators: &'static [u64],
-    /// Share of steps that want one rack, among gangs.
-    pub tight: f64,
-    /// Share of jobs that save their progress.
-    pub saves: f64,
-    /// Error of the declared run time, relative.
-    pub error: f64,
-    /// Objective in chains, and added.
+    /// Share of the gangs that are to run on one rack.
+    pub one_rack_share: f64,
+    /// Share of the jobs whose tasks write checkpoints.
+    pub checkpoint_share: f64,
+    /// Maximum relative error of the declared run time.
+    pub estimate_error: f64,
+    /// Objective: multiple of the critical path, and seconds added to it.
     pub slack: (f64, f64),
-    /// Runs of a task.
-    pub attempts: u32,
-    /// Share of runs that fail by themselves, of jobs that always fail.
-    pub faults: (f64, f64),
-    /// Share of jobs that are cancelled.
-    pub cancelled: f64,
+    /// Maximum number of runs of a task.
+    pub max_attempts: u32,
+    /// Share of the runs that fail through their own fault, and share of the jobs that always fail.
+    pub failure_shares: (f64, f64),
+    /// Share of the jobs that their callers cancel.
+    pub cancelled_share: f64,
 }
 
-/// A deployment.
+/// Deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
     /// Its name.
     pub name: &'static str,
-    /// Kinds of request.
+    /// Kinds of job.
     pub kinds: &'static [Kind],
-    /// Workers by region.
+    /// Number of workers in each region.
     pub workers: &'static [usize],
-    /// Workers a rack.
-    pub rack: usize,
-    /// What a worker has.
+    /// Number of workers in a rack.
+    pub workers_per_rack: usize,
+    /// Resources of a worker.
     pub capacity: Resources,
-    /// Kind that comes in bursts, how much, for how long.
+    /// Burst: index of the kind, factor on its rate, duration in seconds.
     pub burst: (usize, f64, f64),
 }
 
-/// A job that will come, with what it really is.
+/// Job that will be submitted, with its actual behaviour.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, from the start of the load.
+    /// When it is submitted, from the start of the load.
     pub at: Duration,
-    /// Kind, by index.
+    /// Index of its kind in [`Site::kinds`].
     pub kind: usize,
-    /// As it is handed in.
+    /// The job as it is submitted.
     pub job: Job,
-    /// What the tasks of each step are.
+    /// Actual behaviour of the tasks, by step.
     pub truth: Vec<Truth>,
-    /// When its caller cancels it, after it was handed in.
+    /// Time from submission after which its caller cancels it.
     pub cancel_after: Option<Duration>,
 }
 
-/// Draws the jobs of a day.
+/// Draws the jobs of one run.
 pub fn draw(site: &Site, seed: u64, length: Duration, scale: f64) -> Vec<Arrival> {
     draw_declared(site, seed, length, scale, None)
 }
 
-/// Draws the jobs of a day whose declared times are off by a factor of up to `exp(error)`; by as
-/// much as is usual at the site when none is given.
+/// Draws the jobs of one run whose declared run times are wrong by a factor of up to `exp(error)`;
+/// without `error`, by as much as is usual at the site.
 pub fn draw_declared(
     site: &Site,
     seed: u64,
@@ -113,43 +114,44 @@
     arrivals
 }
 
-/// A draw around a mean, with a long tail upwards.
-fn spread(rng: &mut Pcg32, mean: f64, spread: f64, most: f64) -> f64 {
+/// Draws from an approximately log-normal distribution, cut off at `max`.
+fn spread(rng: &mut Pcg32, mean: f64, spread: f64, max: f64) -> f64 {
     let normal: f64 = (0..12).map(|_| rng.random_range(0.0..1.0_f64)).sum::<f64>() - 6.0;
-    (mean * (normal * spread - spread * spread / 2.0).exp()).min(most)
+    (mean * (normal * spread - spread * spread / 2.0).exp()).min(max)
 }
 
 fn arrival(rng: &mut Pcg32, index: usize, kind: &Kind, at: f64, error: Option<f64>) -> Arrival {
     let width = spread(rng, kind.width.0, 0.8, kind.width.1).round().max(1.0) as u32;
     let accelerators = kind.accelerators[rng.random_range(0..kind.accelerators.len())];
-    let work = Duration::from_secs_f64(spread(rng, kind.work.0, kind.work.1, kind.work.2));
+    let work =
+        Duration::from_secs_f64(spread(rng, kind.run_time.0, kind.run_time.1, kind.run_time.2));
     let is_gang = width > 1 && accelerators < 8 && kind.accelerators.len() > 1;
-    let room = Resources { accelerators, ..kind.room };
-    // One draw in either case, so that the same jobs come whatever their error is.
-    let off = rng.random_range(-1.0..1.0_f64);
+    let resources = Resources { accelerators, ..kind.resources };
+    // One draw in either case, so that the error changes nothing else about the jobs.
+    let deviation = rng.random_range(-1.0..1.0_f64);
     let declared = match error {
-        Some(error) => work.mul_f64((off * error).exp()),
-        None => work.mul_f64(1.0 + off * kind.error),
+        Some(error) => work.mul_f64((deviation * error).exp()),
+        None => work.mul_f64(1.0 + deviation * kind.estimate_error),
     };
     let truth = Truth {
         work,
-        always_fails: rng.random_bool(kind.faults.1),
-        fail_share: kind.faults.0,
+        always_fails: rng.random_bool(kind.failure_shares.1),
+        fail_share: kind.failure_shares.0,
         members: if is_gang { width } else { 1 },
-        wants_one_rack: is_gang && rng.random_bool(kind.tight),
-        checkpoints: rng.random_bool(kind.saves),
-        room,
+        wants_one_rack: is_gang && rng.random_bool(kind.one_rack_share),
+        checkpoints: rng.random_bool(kind.checkpoint_share),
+        resources,
     };
     let step = Step {
         tasks: width,
-        room: Some(room.message()),
+        room: Some(resources.message()),
         estimate_ms: declared.as_millis() as u64,
         is_gang,
         wants_one_rack: truth.wants_one_rack,
         checkpoints: truth.checkpoints,
         ..Step::default()
     };
-    let is_cancelled = rng.random_bool(kind.cancelled);
+    let is_cancelled = rng.random_bool(kind.cancelled_share);
     let after = Duration::from_secs_f64(rng.random_range(0.5..8.0));
     let job = Job {
         queue: kind.name.to_owned(),
@@ -157,7 +159,7 @@
         steps: vec![step],
         service: "desk".to_owned(),
         priority: kind.priority,
-        max_attempts: kind.attempts,
+        max_attempts: kind.max_attempts,
         slack_milli: (kind.slack.0 * 1_000.0) as u32,
         target_latency_ms: (kind.slack.1 * 1_000.0) as u64,
         ..Job::default()
--- a/crates/proofs/src/jobs/minion.rs
+++ b/crates/proofs/src/jobs/minion.rs
@@ -1,4 +1,5 @@
-//! A minion that runs tasks under a lease, with a fencing token, and does not guard its room.
+//! Simulated minion: runs tasks under a lease and checks fencing tokens. It does not enforce its
+//! capacity, so that tests can detect when the planner overcommits it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,125 +13,126 @@
 };
 use sapphire_runner::minion::{Call, Reply};
 
-/// What a task really is, whatever its caller has declared.
+/// Actual behaviour of the tasks of a step, whatever the job declares.
 #[derive(Clone, Debug)]
 pub struct Truth {
-    /// Run time on a sound minion near its data.
+    /// Run time on a healthy minion, when the members of its gang are placed as it needs.
     pub work: Duration,
-    /// It fails whenever it is run.
+    /// Whether every run fails.
     pub always_fails: bool,
-    /// Share of its runs that fail by themselves.
+    /// Share of its runs that fail through their own fault.
     pub fail_share: f64,
-    /// Members of its gang; 1 for a task that is no part of one.
+    /// Number of members of its gang; 1 for a task outside a gang.
     pub members: u32,
-    /// It is slower on more than one rack.
+    /// Whether it is slower when its gang spans several racks.
     pub wants_one_rack: bool,
-    /// It saves its progress.
+    /// Whether it writes a checkpoint when it is stopped.
     pub checkpoints: bool,
-    /// What it takes.
-    pub room: Resources,
+    /// Resources that it occupies.
+    pub resources: Resources,
 }
 
-/// One task that runs.
+/// Run of a task in progress.
 #[derive(Clone, Debug)]
 pub struct Active {
-    /// Its run.
+    /// Number of the run.
     pub number: RunNumber,
-    /// Work done, on the scale of `Truth::work`.
-    pub done: Duration,
-    /// Work done at the start, from a checkpoint.
-    pub began: Duration,
-    /// When it was started.
-    pub since: Duration,
-    /// To be stopped at this time.
+    /// Work done so far; the task is done when it reaches [`Truth::work`].
+    pub progress: Duration,
+    /// Work that the checkpoint it started from already contained.
+    pub initial_progress: Duration,
+    /// Time of the start.
+    pub started_at: Duration,
+    /// When it stops, once a stop has been ordered.
     pub stop_at: Option<Duration>,
 }
 
-/// The minion.
+/// Minion.
 #[derive(Clone, Debug)]
 pub struct Minion {
-    /// What it says of itself.
+    /// Incarnation that it reports in its heartbeats.
     pub incarnation: Incarnation,
-    /// Its process runs.
+    /// Whether its process is running.
     pub is_up: bool,
-    /// Tasks that run.
+    /// Tasks in progress.
     pub active: BTreeMap<Task, Active>,
-    /// Ends that were not noted.
+    /// Ends of runs that are not acknowledged yet, by number.
     pub ended: BTreeMap<u64, Ended>,
-    /// Ends that were noted, until the world has looked at them.
-    pub noted: Vec<Ended>,
-    /// Number of the latest end.
+    /// Acknowledged ends, until the simulation has checked them.
+    pub acknowledged: Vec<Ended>,
+    /// Number of the latest end of a run.
     pub last_end: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token received.
     pub token: u64,
-    /// Time of the world at which its clock began.
-    pub zero: Duration,
-    /// Longest lease; a longer one is shortened.
-    pub hold: Duration,
-    /// End of the lease, by its clock.
-    pub lease: Duration,
-    /// When it last held no lease.
-    pub lapsed: Option<Duration>,
-    /// When its agent first heard that it drains.
-    pub told: Option<Duration>,
-    /// How many times slower it is.
-    pub slow: f64,
-    /// Its tasks stand still.
-    pub hangs: bool,
-    /// Its tasks fail.
+    /// Simulation time at which its clock started.
+    pub clock_origin: Duration,
+    /// Maximum lease; a longer one is shortened.
+    pub max_lease: Duration,
+    /// End of the lease by the minion's clock.
+    pub lease_expires_at: Duration,
+    /// Latest simulation time at which it held no lease.
+    pub last_expired_at: Option<Duration>,
+    /// When its agent first received the report that it is draining.
+    pub drain_reported_at: Option<Duration>,
+    /// Factor by which its tasks are slower than on a healthy minion.
+    pub slowdown: f64,
+    /// Whether its tasks make no progress.
+    pub stalls: bool,
+    /// Whether all its tasks fail.
     pub fails: bool,
-    /// Highest run stopped or ended, by task.
+    /// Highest run of each task that was ordered to stop or has ended; no run up to it may start.
     closed: BTreeMap<Task, RunNumber>,
-    /// Work thrown away, in processor seconds.
+    /// Work that was lost, in processor seconds.
     pub waste: f64,
-    /// Most that was ever taken, beyond what it has.
-    pub overfilled: bool,
+    /// Whether its tasks together have exceeded its capacity.
+    pub is_overcommitted: bool,
 }
 
-/// Longest time that a stopped task goes on.
-pub const STOP: Duration = Duration::from_millis(250);
+/// Time for which a task goes on after it was ordered to stop.
+pub const STOP_DELAY: Duration = Duration::from_millis(250);
 
 impl Minion {
-    /// One that has just started.
+    /// Minion that has just started.
     pub fn new(incarnation: Incarnation) -> Self {
         Minion {
             incarnation,
             is_up: true,
             active: BTreeMap::new(),
             ended: BTreeMap::new(),
-            noted: Vec::new(),
+            acknowledged: Vec::new(),
             last_end: 0,
             token: 0,
-            zero: Duration::ZERO,
-            hold: Duration::MAX,
-            lease: Duration::ZERO,
-            lapsed: None,
-            told: None,
-            slow: 1.0,
-            hangs: false,
+            clock_origin: Duration::ZERO,
+            max_lease: Duration::MAX,
+            lease_expires_at: Duration::ZERO,
+            last_expired_at: None,
+            drain_reported_at: None,
+            slowdown: 1.0,
+            stalls: false,
             fails: false,
             closed: BTreeMap::new(),
             waste: 0.0,
-            overfilled: false,
+            is_overcommitted: false,
         }
     }
 
-    /// The same with a clock that begins at a time of the world, and a longest lease.
-    pub fn begun(self, zero: Duration, hold: Duration) -> Self {
-        Minion { zero, hold, ..self }
+    /// The same minion with a clock that started at `clock_origin`, and with a maximum lease.
+    pub fn with_clock(self, clock_origin: Duration, max_lease: Duration) -> Self {
+        Minion { clock_origin, max_lease, ..self }
     }
 
-    /// Its clock at a time of the world.
+    /// Reading of its clock at a simulation time.
     pub fn clock(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.zero)
+        now.saturating_sub(self.clock_origin)
     }
 
-    /// Extends the lease, by its own clock; it is never shortened.
+    /// Extends the lease to `deadline` by the minion's clock; never shortens it.
     fn extend(&mut self, now: Duration, deadline: Duration) {
-        self.lease = self.lease.max(deadline.min(self.clock(now).saturating_add(self.hold)));
+        self.lease_expires_at =
+            self.lease_expires_at.max(deadline.min(self.clock(now).saturating_add(self.max_lease)));
     }
 
-    /// Carries out a call; `truth` says what a task is.
+    /// Carries out a call; `truth` holds the behaviour of each job's steps.
     pub fn call(
         &mut self,
         now: Duration,
@@ -149,9 +151,9 @@
         match call {
             Call::LongPoll { deadline, acknowledged, .. } => {
                 let kept = self.ended.split_off(&acknowledged.saturating_add(1));
-                self.noted.extend(std::mem::replace(&mut self.ended, kept).into_values());
+                self.acknowledged.extend(std::mem::replace(&mut self.ended, kept).into_values());
                 self.extend(now, deadline.unwrap_or_default());
-                self.lists(now, truth)
+                self.list(now, truth)
             }
             Call::Start { start, deadline, .. } => self.start(now, start, *deadline, truth),
             Call::Stop { task, number, .. } => {
@@ -160,7 +162,7 @@
                 if let Some(active) = self.active.get_mut(task)
                     && active.number == *number
                 {
-                    active.stop_at.get_or_insert(now + STOP);
+                    active.stop_at.get_or_insert(now + STOP_DELAY);
                 }
                 Reply::Done
             }
@@ -182,26 +184,36 @@
         if deadline <= self.clock(now) {
             return Reply::Refused(Rejection::Late);
         }
-        // Also from a start that is refused as old.
+        // A start that is then refused as old extends the lease as well.
         self.extend(now, deadline);
         if self.closed.get(&task).is_some_and(|closed| *closed >= run.run) {
             return Reply::Refused(Rejection::Old);
         }
-        let done = Duration::from_millis(start.checkpoint.parse().unwrap_or(0));
-        let since = now;
-        self.active
-            .insert(task, Active { number: run.run, done, began: done, since, stop_at: None });
-        let rooms = self.active.keys().filter_map(|task| truth.get(&(task.job.clone(), task.step)));
-        let used = rooms.fold(Resources::default(), |sum, truth| sum.plus(truth.room));
+        let progress = Duration::from_millis(start.checkpoint.parse().unwrap_or(0));
+        let started_at = now;
+        self.active.insert(
+            task,
+            Active {
+                number: run.run,
+                progress,
+                initial_progress: progress,
+                started_at,
+                stop_at: None,
+            },
+        );
+        let used_by_tasks =
+            self.active.keys().filter_map(|task| truth.get(&(task.job.clone(), task.step)));
+        let used = used_by_tasks.fold(Resources::default(), |sum, truth| sum.plus(truth.resources));
         let capacity = Resources::read(self.incarnation.capacity.as_ref());
-        self.overfilled |= capacity.count_fitting(used) == 0;
+        self.is_overcommitted |= capacity.count_fitting(used) == 0;
         Reply::Done
     }
 
-    fn lists(&self, now: Duration, truth: &BTreeMap<(String, u32), Truth>) -> Reply {
+    fn list(&self, now: Duration, truth: &BTreeMap<(String, u32), Truth>) -> Reply {
         let running = self.active.iter().map(|(task, active)| {
             let work = truth.get(&(task.job.clone(), task.step)).map(|truth| truth.work);
-            let share = active.done.as_secs_f64() / work.unwrap_or(now).as_secs_f64().max(0.001);
+            let share =
+                active.progress.as_secs_f64() / work.unwrap_or(now).as_secs_f64().max(0.001);
             Running {
                 run: Some(task.run(active.number)),
                 percent: (share * 100.0).min(100.0) as u32,
@@ -217,17 +229,19 @@
         }
     }
 
-    /// Ends a task.
-    pub fn end(&mut self, task: &Task, ending: Ending, truth: Option<&Truth>) {
+    /// Ends a task and keeps the end until it is acknowledged.
+    pub fn end_task(&mut self, task: &Task, ending: Ending, truth: Option<&Truth>) {
         let Some(active) = self.active.remove(task) else { return };
         let closed = self.closed.entry(task.clone()).or_default();
         *closed = (*closed).max(active.number);
-        let saves = truth.is_some_and(|truth| truth.checkpoints) && ending == Ending::Stopped;
-        let checkpoint = if saves { active.done.as_millis().to_string() } else { String::new() };
-        // A failure by the task's own fault is not the scheduler's.
-        if !matches!(ending, Ending::Done | Ending::Faulty) && !saves {
-            let lost = active.done.saturating_sub(active.began).as_secs_f64();
-            self.waste += truth.map_or(0.0, |truth| truth.room.weight()) * lost;
+        let is_checkpointed =
+            truth.is_some_and(|truth| truth.checkpoints) && ending == Ending::Stopped;
+        let checkpoint =
+            if is_checkpointed { active.progress.as_millis().to_string() } else { String::new() };
+        // A failure through the task's own fault is no waste of the scheduler's.
+        if !matches!(ending, Ending::Done | Ending::Faulty) && !is_checkpointed {
+            let lost = active.progress.saturating_sub(active.initial_progress).as_secs_f64();
+            self.waste += truth.map_or(0.0, |truth| truth.resources.weight()) * lost;
         }
         self.last_end += 1;
         let run = Some(task.run(active.number));
@@ -235,19 +249,19 @@
         self.ended.insert(self.last_end, ended);
     }
 
-    /// Ends everything without a word: the process ends. Its work is thrown away.
-    pub fn die(&mut self, truth: &BTreeMap<(String, u32), Truth>) {
-        self.lapse(truth);
+    /// Ends the process and all its tasks without reporting their ends; their work is lost.
+    pub fn terminate(&mut self, truth: &BTreeMap<(String, u32), Truth>) {
+        self.expire_lease(truth);
         self.ended.clear();
         self.is_up = false;
     }
 
-    /// Ends everything: the lease has run out.
-    pub fn lapse(&mut self, truth: &BTreeMap<(String, u32), Truth>) {
+    /// Ends all tasks because the lease has expired.
+    pub fn expire_lease(&mut self, truth: &BTreeMap<(String, u32), Truth>) {
         let tasks: BTreeSet<Task> = self.active.keys().cloned().collect();
         for task in tasks {
             let truth = truth.get(&(task.job.clone(), task.step));
-            self.end(&task, Ending::Lapsed, truth);
+            self.end_task(&task, Ending::Lapsed, truth);
         }
     }
 }
--- a/crates/proofs/src/jobs/mod.rs
+++ b/crates/proofs/src/jobs/mod.rs
@@ -1,13 +1,14 @@
-//! Entries, planner and agents of the job system together in virtual time: a fake store, fake
-//! minions, links with latency, and faults.
+//! Simulation of the job system in virtual time: the real state machines of entries, planners and
+//! agents with a fake store, fake minions, network latency and injected faults.
 //!
-//! [`world`] runs the machines, [`minion`] is the platform's side of running tasks, [`load`]
-//! draws jobs as the users' sites see them, [`figures`] says how callers were served and which
-//! promises were broken.
+//! [`simulation`] runs the state machines and checks the invariants, [`minion`] simulates the
+//! platform's side of running tasks, [`load`] draws jobs like those of the users' sites,
+//! [`figures`] computes how well callers were served, and [`baseline`] simulates two simple
+//! schedulers for comparison.
 
 pub mod baseline;
 pub mod figures;
 pub mod load;
 pub mod minion;
+pub mod simulation;
 pub mod sites;
-pub mod world;
--- a/crates/proofs/src/jobs/world/callers.rs
+++ b/crates/proofs/src/jobs/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what they are shown.
+//! Simulated callers: submit, read and cancel jobs, and record the answers.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use sapphire_front::{self as front, answer};
 use sapphire_jobs::{Job, State};
 
-use super::{Action, World};
+use super::{Action, Simulation};
 
-impl World {
+impl Simulation {
     pub(super) fn caller_entry(&mut self) -> usize {
         let up: Vec<usize> =
             (0..self.entries.len()).filter(|index| self.entries[*index].is_up).collect();
@@ -25,10 +25,10 @@
             timeout: Some(Duration::from_secs(3)),
             action,
         };
-        let life = self.entries[entry].life;
+        let generation = self.entries[entry].generation;
         let caller = index as u64;
         let event = front::event::Event::Request(caller, Box::new(request));
-        self.after(Duration::from_millis(3), Action::Front(entry, life, event));
+        self.after(Duration::from_millis(3), Action::Front(entry, generation, event));
     }
 
     pub(super) fn submit(&mut self, index: usize) {
@@ -40,15 +40,15 @@
         if refusal.count > self.retries {
             return;
         }
-        if self.now < refusal.until {
-            self.at(refusal.until, Action::Submit(index));
+        if self.now < refusal.retry_at {
+            self.at(refusal.retry_at, Action::Submit(index));
             return;
         }
-        self.note(&format!("job={} is handed in", job.id));
-        let handin =
+        self.log_line(&format!("job={} is submitted", job.id));
+        let submission =
             answer::Submission { spec: job.spec, steps: job.steps, schedule: job.schedule };
-        self.request(index, answer::Action::Submit(Ok(handin)));
-        // Callers ask again when there is no answer.
+        self.request(index, answer::Action::Submit(Ok(submission)));
+        // A caller that gets no answer submits again; otherwise the job is accepted by then.
         self.after(Duration::from_millis(1_500), Action::Submit(index));
     }
 
@@ -56,59 +56,59 @@
         self.request(index, answer::Action::Cancel);
     }
 
-    pub(super) fn look(&mut self, index: usize) {
+    pub(super) fn read_state(&mut self, index: usize) {
         let id = self.arrivals[index].job.id.clone();
         let is_over = [State::Complete, State::Failed, State::Cancelled]
             .iter()
-            .any(|state| self.shown.contains_key(&(id.clone(), (*state).into())));
+            .any(|state| self.reported.contains_key(&(id.clone(), (*state).into())));
         if !is_over {
             self.request(index, answer::Action::Read);
-            self.after(Duration::from_millis(100), Action::Look(index));
+            self.after(Duration::from_millis(100), Action::ReadState(index));
         }
     }
 
-    pub(super) fn answered(&mut self, caller: u64, answer: &answer::Answer) {
+    pub(super) fn record_answer(&mut self, caller: u64, answer: &answer::Answer) {
         let index = caller as usize;
         let id = self.arrivals[index].job.id.clone();
         match answer {
             answer::Answer::Accepted => {
                 let earlier = self.accepted.insert(id, self.now);
                 if earlier.is_none() {
-                    self.after(Duration::from_millis(50), Action::Look(index));
+                    self.after(Duration::from_millis(50), Action::ReadState(index));
                 }
             }
             answer::Answer::State(state) => {
-                self.shown.entry((id, (*state).into())).or_insert(self.now);
+                self.reported.entry((id, (*state).into())).or_insert(self.now);
             }
             answer::Answer::Cancelled => {
                 self.cancelled.entry(id).or_insert(self.now);
             }
             answer::Answer::NotDone { reason, after } => {
-                self.note(&format!("job={id} is said not to be done: {reason}"));
+                self.log_line(&format!("job={id} is refused: {reason}"));
                 self.refused.insert(id, self.now);
                 let refusal = self.refusals.entry(index).or_default();
                 refusal.count += 1;
-                refusal.until = self.now + *after;
+                refusal.retry_at = self.now + *after;
             }
             answer::Answer::NoJob if self.accepted.contains_key(&id) => {
-                self.broken.push(format!("{id} was accepted and is said not to exist"));
+                self.violations.push(format!("{id} was accepted and is said not to exist"));
             }
             _ => {}
         }
     }
 
-    /// When a job was first shown in a state, from the first arrival.
-    pub fn shown(&self, id: &str, state: State) -> Option<Duration> {
-        let at = self.shown.get(&(id.to_owned(), state.into()))?;
+    /// When a caller was first told that a job is in this state, from the start of the load.
+    pub fn reported_at(&self, id: &str, state: State) -> Option<Duration> {
+        let at = self.reported.get(&(id.to_owned(), state.into()))?;
         Some(at.saturating_sub(self.offset))
     }
 
-    /// When a job's first task started, from the first arrival.
+    /// When a job's first task started, from the start of the load.
     pub fn started(&self, id: &str) -> Option<Duration> {
         Some(self.started.get(id)?.saturating_sub(self.offset))
     }
 
-    /// Whether a job was accepted.
+    /// Whether a caller was told that the job is accepted.
     pub fn is_accepted(&self, id: &str) -> bool {
         self.accepted.contains_key(id)
     }
--- a/crates/proofs/src/jobs/world/entries.rs
+++ b/crates/proofs/src/jobs/simulation/entries.rs
@@ -1,4 +1,5 @@
-//! What entries and their planners ask for, and the messages between them.
+//! Delivers events to the entries' fronts and planners, carries out their effects, and passes on
+//! the messages between processes.
 
 use std::time::Duration;
 
@@ -9,20 +10,20 @@
 use sapphire_runner as runner;
 
 use super::{
-    Action, AgentNode, Asker, ENTRY_TICK, Origin, Waiting, World,
+    Action, AgentNode, ENTRY_TICK, Origin, PendingPoll, Requester, Simulation,
     settings::{planner_options, read_catalog},
 };
 
-impl World {
-    pub(super) fn entry_tick(&mut self, entry: usize, life: u64) {
-        if self.entries[entry].life != life || !self.entries[entry].is_up {
+impl Simulation {
+    pub(super) fn entry_tick(&mut self, entry: usize, generation: u64) {
+        if self.entries[entry].generation != generation || !self.entries[entry].is_up {
             return;
         }
-        self.after(ENTRY_TICK, Action::EntryTick(entry, life));
-        self.tell_front(entry, life, front::event::Event::Tick);
-        self.tell_planner(entry, life, planner::event::Event::Tick);
+        self.after(ENTRY_TICK, Action::EntryTick(entry, generation));
+        self.front_event(entry, generation, front::event::Event::Tick);
+        self.planner_event(entry, generation, planner::event::Event::Tick);
         let node = &mut self.entries[entry];
-        if self.now < node.frozen_until {
+        if self.now < node.paused_until {
             return;
         }
         if let Some(planner) = &node.planner {
@@ -32,16 +33,21 @@
         }
     }
 
-    pub(super) fn tell_front(&mut self, entry: usize, life: u64, event: front::event::Event) {
+    pub(super) fn front_event(
+        &mut self,
+        entry: usize,
+        generation: u64,
+        event: front::event::Event,
+    ) {
         let now = self.moment();
         let node = &mut self.entries[entry];
-        if node.life != life || !node.is_up {
+        if node.generation != generation || !node.is_up {
             return;
         }
-        if self.now < node.frozen_until {
-            let until = node.frozen_until;
+        if self.now < node.paused_until {
+            let until = node.paused_until;
             if !matches!(event, front::event::Event::Tick) {
-                self.at(until, Action::Front(entry, life, event));
+                self.at(until, Action::Front(entry, generation, event));
             }
             return;
         }
@@ -51,10 +57,10 @@
 
     pub(super) fn front_effects(&mut self, entry: usize, effects: Vec<front::effect::Effect>) {
         use front::effect::Effect;
-        let (life, region) = (self.entries[entry].life, self.entries[entry].region);
+        let (generation, region) = (self.entries[entry].generation, self.entries[entry].region);
         for effect in effects {
             match effect {
-                Effect::Answer(caller, answer) => self.answered(caller, &answer),
+                Effect::Answer(caller, answer) => self.record_answer(caller, &answer),
                 Effect::Store(operation, call) => {
                     self.send_store(entry, Origin::Front(operation), call);
                 }
@@ -63,56 +69,62 @@
                     let sent = self.now;
                     let latency = self.latency(region, self.entries[other].region);
                     let timeout = front::options::FEED_TIMEOUT;
-                    let action = Action::Feed { entry: other, asker: entry, life, poll, sent };
+                    let action =
+                        Action::Feed { entry: other, requester: entry, generation, poll, sent };
                     self.after(latency, action);
                     let lost = front::event::Event::Feed { sent, feed: None };
-                    self.after(timeout, Action::Front(entry, life, lost));
+                    self.after(timeout, Action::Front(entry, generation, lost));
                 }
                 Effect::Notice { address, notice } => {
                     let Some(other) = Self::entry_of(&address) else { continue };
                     let latency = self.latency(region, self.entries[other].region);
-                    let life = self.entries[other].life;
+                    let generation = self.entries[other].generation;
                     let event = planner::event::Event::Notice(*notice);
-                    self.after(latency, Action::Planner(other, life, event));
+                    self.after(latency, Action::Planner(other, generation, event));
                 }
                 Effect::QueryLeader { address } => {
                     let Some(other) = Self::entry_of(&address) else { continue };
                     let latency = self.latency(region, self.entries[other].region);
-                    let asker = Asker::Entry(entry);
-                    self.after(latency, Action::AskLead { entry: other, asker, life });
+                    let from = Requester::Entry(entry);
+                    self.after(latency, Action::QueryLeader { entry: other, from, generation });
                 }
                 Effect::Catalog(catalog) => {
-                    self.tell_planner(entry, life, planner::event::Event::Catalog(catalog));
+                    self.planner_event(entry, generation, planner::event::Event::Catalog(catalog));
                 }
                 Effect::CatalogVerified { revision, at } => {
                     let event = planner::event::Event::CatalogVerified { revision, at };
-                    self.tell_planner(entry, life, event);
+                    self.planner_event(entry, generation, event);
                 }
                 Effect::Plan(term) => {
                     let options = planner_options(entry, self.policy);
                     let catalog = std::sync::Arc::new(
-                        read_catalog(&Bytes::new(), 1).expect("the fake one can be read"),
+                        read_catalog(&Bytes::new(), 1).expect("the fake configuration is valid"),
                     );
                     let planner = Planner::new(options, term, catalog, self.moment());
                     self.entries[entry].planner = Some(planner);
-                    self.tell_planner(entry, life, planner::event::Event::Tick);
+                    self.planner_event(entry, generation, planner::event::Event::Tick);
                 }
                 Effect::Resign => self.entries[entry].planner = None,
-                Effect::Log(text) => self.note(&format!("e{entry} front: {text}")),
+                Effect::Log(text) => self.log_line(&format!("e{entry} front: {text}")),
             }
         }
     }
 
-    pub(super) fn tell_planner(&mut self, entry: usize, life: u64, event: planner::event::Event) {
+    pub(super) fn planner_event(
+        &mut self,
+        entry: usize,
+        generation: u64,
+        event: planner::event::Event,
+    ) {
         let now = self.moment();
         let node = &mut self.entries[entry];
-        if node.life != life || !node.is_up {
+        if node.generation != generation || !node.is_up {
             return;
         }
-        if self.now < node.frozen_until {
-            let until = node.frozen_until;
+        if self.now < node.paused_until {
+            let until = node.paused_until;
             if !matches!(event, planner::event::Event::Tick) {
-                self.at(until, Action::Planner(entry, life, event));
+                self.at(until, Action::Planner(entry, generation, event));
             }
             return;
         }
@@ -126,11 +138,11 @@
         let region = self.entries[entry].region;
         for effect in effects {
             match effect {
-                Effect::Orders(asker, orders) => self.give_orders(region, asker, Some(*orders)),
-                Effect::Feed(asker, feed) => self.give_feed(region, asker, Some(feed)),
-                Effect::Decline(asker) => {
-                    self.give_orders(region, asker, None);
-                    self.give_feed(region, asker, None);
+                Effect::Orders(poll_id, orders) => self.send_orders(region, poll_id, Some(*orders)),
+                Effect::Feed(poll_id, feed) => self.send_feed(region, poll_id, Some(feed)),
+                Effect::Decline(poll_id) => {
+                    self.send_orders(region, poll_id, None);
+                    self.send_feed(region, poll_id, None);
                 }
                 Effect::Store(operation, call) => {
                     let Some(planner) = &self.entries[entry].planner else { continue };
@@ -138,7 +150,7 @@
                     self.send_store(entry, origin, call);
                 }
                 Effect::Announce(addresses) => self.announce(entry, &addresses),
-                Effect::Log(text) => self.note(&format!("e{entry} plan: {text}")),
+                Effect::Log(text) => self.log_line(&format!("e{entry} plan: {text}")),
                 Effect::Deposed => {
                     let node = &mut self.entries[entry];
                     node.planner = None;
@@ -150,27 +162,29 @@
     }
 
     pub(super) fn announce(&mut self, entry: usize, addresses: &[String]) {
-        let Some(lead) = self.entries[entry].front.leader().cloned() else { return };
+        let Some(leader) = self.entries[entry].front.leader().cloned() else { return };
         for address in addresses {
             let Some(agent) = address.strip_prefix('a').and_then(|text| text.parse().ok()) else {
                 continue;
             };
             let node: &AgentNode = &self.agents[agent];
             let latency = self.latency(self.entries[entry].region, node.region);
-            let event = runner::event::Event::Leader(lead.clone());
-            let life = node.life;
-            if !node.is_cut {
-                self.after(latency, Action::Runner(agent, life, event));
+            let event = runner::event::Event::Leader(leader.clone());
+            let generation = node.generation;
+            if !node.is_isolated {
+                self.after(latency, Action::Runner(agent, generation, event));
             }
         }
     }
 
-    pub(super) fn give_orders(&mut self, region: usize, asker: u64, orders: Option<Orders>) {
-        let Some(Waiting::Agent { agent, life, ticket }) = self.askers.get(&asker).copied() else {
+    pub(super) fn send_orders(&mut self, region: usize, poll_id: u64, orders: Option<Orders>) {
+        let Some(PendingPoll::Agent { agent, generation, ticket }) =
+            self.pending_polls.get(&poll_id).copied()
+        else {
             return;
         };
-        self.askers.remove(&asker);
-        if self.agents[agent].is_cut {
+        self.pending_polls.remove(&poll_id);
+        if self.agents[agent].is_isolated {
             return;
         }
         let latency = self.latency(region, self.agents[agent].region);
@@ -178,89 +192,93 @@
             Some(orders) => runner::event::Event::Orders(ticket, Box::new(orders)),
             None => runner::event::Event::PollFailed { ticket, is_declined: true },
         };
-        self.after(latency, Action::Runner(agent, life, event));
+        self.after(latency, Action::Runner(agent, generation, event));
     }
 
-    pub(super) fn give_feed(
+    pub(super) fn send_feed(
         &mut self,
         region: usize,
-        asker: u64,
+        poll_id: u64,
         feed: Option<Box<sapphire_jobs::Feed>>,
     ) {
-        let Some(Waiting::Entry { entry, life, sent }) = self.askers.get(&asker).copied() else {
+        let Some(PendingPoll::Entry { entry, generation, sent }) =
+            self.pending_polls.get(&poll_id).copied()
+        else {
             return;
         };
-        self.askers.remove(&asker);
+        self.pending_polls.remove(&poll_id);
         let latency = self.latency(region, self.entries[entry].region);
         let event = front::event::Event::Feed { sent, feed };
-        self.after(latency, Action::Front(entry, life, event));
+        self.after(latency, Action::Front(entry, generation, event));
     }
 
     pub(super) fn poll(
         &mut self,
         entry: usize,
         agent: usize,
-        life: u64,
+        generation: u64,
         ticket: u64,
         poll: sapphire_jobs::Poll,
     ) {
-        if self.agents[agent].is_cut || !self.entries[entry].is_up {
+        if self.agents[agent].is_isolated || !self.entries[entry].is_up {
             return;
         }
-        self.last += 1;
-        let asker = self.last;
-        self.askers.insert(asker, Waiting::Agent { agent, life, ticket });
+        self.last_number += 1;
+        let poll_id = self.last_number;
+        self.pending_polls.insert(poll_id, PendingPoll::Agent { agent, generation, ticket });
         let node = &self.entries[entry];
         if node.planner.is_none() {
             let region = node.region;
-            self.give_orders(region, asker, None);
+            self.send_orders(region, poll_id, None);
             return;
         }
-        let life = node.life;
-        self.tell_planner(entry, life, planner::event::Event::Poll(asker, Box::new(poll)));
+        let generation = node.generation;
+        self.planner_event(entry, generation, planner::event::Event::Poll(poll_id, Box::new(poll)));
     }
 
     pub(super) fn feed(
         &mut self,
         entry: usize,
-        asking: usize,
-        life: u64,
+        requesting: usize,
+        generation: u64,
         poll: sapphire_jobs::FeedPoll,
         sent: Duration,
     ) {
         if !self.entries[entry].is_up {
             return;
         }
-        self.last += 1;
-        let asker = self.last;
-        self.askers.insert(asker, Waiting::Entry { entry: asking, life, sent });
+        self.last_number += 1;
+        let poll_id = self.last_number;
+        self.pending_polls
+            .insert(poll_id, PendingPoll::Entry { entry: requesting, generation, sent });
         let node = &self.entries[entry];
         if node.planner.is_none() {
             let region = node.region;
-            self.give_feed(region, asker, None);
+            self.send_feed(region, poll_id, None);
             return;
         }
-        let life = node.life;
-        self.tell_planner(entry, life, planner::event::Event::Feed(asker, poll));
+        let generation = node.generation;
+        self.planner_event(entry, generation, planner::event::Event::Feed(poll_id, poll));
     }
 
-    pub(super) fn ask_lead(&mut self, entry: usize, asker: Asker, life: u64) {
+    /// Answers a query for the current leader, if the entry knows it.
+    pub(super) fn leader(&mut self, entry: usize, from: Requester, generation: u64) {
         let node = &self.entries[entry];
-        if !node.is_up || self.now < node.frozen_until {
+        if !node.is_up || self.now < node.paused_until {
             return;
         }
-        let Some(lead): Option<Lead> = node.front.leader().cloned() else { return };
-        match asker {
-            Asker::Entry(asking) => {
-                let latency = self.latency(node.region, self.entries[asking].region);
-                let event = front::event::Event::Leader(lead);
-                self.after(latency, Action::Front(asking, life, event));
+        let Some(leader): Option<Lead> = node.front.leader().cloned() else { return };
+        match from {
+            Requester::Entry(requesting) => {
+                let latency = self.latency(node.region, self.entries[requesting].region);
+                let event = front::event::Event::Leader(leader);
+                self.after(latency, Action::Front(requesting, generation, event));
             }
-            Asker::Agent(agent) => {
+            Requester::Agent(agent) => {
                 let latency = self.latency(node.region, self.agents[agent].region);
-                let event = runner::event::Event::Leader(lead);
-                if !self.agents[agent].is_cut {
-                    self.after(latency, Action::Runner(agent, life, event));
+                let event = runner::event::Event::Leader(leader);
+                if !self.agents[agent].is_isolated {
+                    self.after(latency, Action::Runner(agent, generation, event));
                 }
             }
         }
--- /dev/null
+++ b/crates/proofs/src/jobs/simulation/faults.rs
@@ -0,0 +1,156 @@
+//! Faults that tests inject.
+
+use std::time::Duration;
+
+use sapphire_front as front;
+use sapphire_jobs::Incarnation;
+use sapphire_runner as runner;
+
+use super::{Action, LOCAL_LATENCY, MAX_LEASE, Simulation, settings::runner_options};
+use crate::jobs::{load::Site, minion::Minion};
+
+/// Time between the departure of a drained minion and the start of its replacement.
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(2);
+
+impl Simulation {
+    /// Entry that runs the planner, if one does.
+    pub fn planner_entry(&self) -> Option<usize> {
+        self.entries.iter().position(|entry| entry.is_up && entry.planner.is_some())
+    }
+
+    /// Kills an entry; it starts again after `restart_after`.
+    pub fn kill_entry(&mut self, entry: usize, restart_after: Duration) {
+        let node = &mut self.entries[entry];
+        node.is_up = false;
+        node.planner = None;
+        node.generation += 1;
+        self.after(restart_after, Action::StartEntry(entry));
+        self.log_line(&format!("e{entry} is killed"));
+    }
+
+    pub(super) fn start_entry(&mut self, entry: usize) {
+        let generation = self.entries[entry].generation;
+        let front = front::machine::Machine::new(self.front_options(entry, generation));
+        let node = &mut self.entries[entry];
+        node.front = front;
+        node.is_up = true;
+        self.after(Duration::ZERO, Action::EntryTick(entry, generation));
+    }
+
+    /// Kills an agent; it starts again after `restart_after`, and its minion runs on meanwhile.
+    pub fn kill_agent(&mut self, agent: usize, restart_after: Duration) {
+        let node = &mut self.agents[agent];
+        node.is_up = false;
+        node.generation += 1;
+        self.after(restart_after, Action::StartAgent(agent));
+        self.log_line(&format!("a{agent} is killed"));
+    }
+
+    pub(super) fn start_agent(&mut self, agent: usize) {
+        let generation = self.agents[agent].generation;
+        let node = &mut self.agents[agent];
+        node.machine = runner::machine::Machine::new(runner_options(agent, generation));
+        node.is_up = true;
+        self.after(Duration::ZERO, Action::AgentTick(agent, generation));
+    }
+
+    /// Pauses an entry; what is sent to it is delivered when it resumes.
+    pub fn pause_entry(&mut self, entry: usize, time: Duration) {
+        self.entries[entry].paused_until = self.now + time;
+        self.log_line(&format!("e{entry} is paused for {} ms", time.as_millis()));
+    }
+
+    /// Pauses an agent; what is sent to it is delivered when it resumes.
+    pub fn pause_agent(&mut self, agent: usize, time: Duration) {
+        self.agents[agent].paused_until = self.now + time;
+        self.log_line(&format!("a{agent} is paused for {} ms", time.as_millis()));
+    }
+
+    /// Cuts an agent off from everything but its minion, or reconnects it.
+    pub fn set_agent_isolated(&mut self, agent: usize, is_isolated: bool) {
+        self.agents[agent].is_isolated = is_isolated;
+        self.log_line(&format!("a{agent} isolated={is_isolated}"));
+    }
+
+    /// Makes the store unreachable for one entry, or reachable again.
+    pub fn set_store_reachable(&mut self, entry: usize, is_reachable: bool) {
+        self.entries[entry].reaches_store = is_reachable;
+        self.log_line(&format!("e{entry} reaches_store={is_reachable}"));
+    }
+
+    /// Makes the store unreachable for all entries, or reachable again.
+    pub fn set_store_up(&mut self, is_up: bool) {
+        self.is_store_up = is_up;
+        self.log_line(&format!("store up={is_up}"));
+    }
+
+    /// Drops the store's history of changes.
+    pub fn compact_store(&mut self) {
+        self.store.compact();
+    }
+
+    /// Crashes a minion; its next incarnation starts at once, under the same identifier.
+    pub fn crash_minion(&mut self, agent: usize) {
+        let old = &self.minions[agent];
+        if !old.is_up {
+            return;
+        }
+        self.earlier_waste += old.waste;
+        let born_ms = old.incarnation.born_ms + 1;
+        let incarnation = Incarnation { born_ms, is_draining: false, ..old.incarnation.clone() };
+        self.minions[agent] = Minion::new(incarnation).with_clock(self.now, MAX_LEASE);
+        self.log_line(&format!("m{agent} crashes and starts again, born_ms={born_ms}"));
+    }
+
+    /// Adds an idle worker with its agent; returns its number.
+    pub fn add_idle_worker(&mut self, site: &Site, region: usize) -> usize {
+        let agent = self.agents.len();
+        self.add_worker(site, region, agent, Duration::ZERO);
+        self.log_line(&format!("m{agent} is added"));
+        agent
+    }
+
+    /// Makes a minion drain: it reports this at once and in every heartbeat and deregisters after
+    /// `leaves_after`; then another minion, with an identifier of its own, starts in its place.
+    pub fn drain_minion(&mut self, agent: usize, leaves_after: Duration) {
+        let minion = &mut self.minions[agent];
+        if !minion.is_up || minion.incarnation.is_draining {
+            return;
+        }
+        minion.incarnation.is_draining = true;
+        let id = minion.incarnation.id.clone();
+        self.log_line(&format!("m{agent} drains id={id}"));
+        self.send_heartbeat(agent);
+        self.after(leaves_after, Action::Leave(agent, id));
+    }
+
+    pub(super) fn deregister(&mut self, agent: usize, id: &str) {
+        let minion = &mut self.minions[agent];
+        if !minion.is_up || !minion.incarnation.is_draining || minion.incarnation.id != id {
+            return;
+        }
+        minion.terminate(&self.truth);
+        let event = runner::event::Event::Deregistered(id.to_owned());
+        let generation = self.agents[agent].generation;
+        self.after(LOCAL_LATENCY, Action::Runner(agent, generation, event));
+        self.after(REPLACEMENT_DELAY, Action::StartMinion(agent));
+        self.log_line(&format!("m{agent} leaves id={id}"));
+    }
+
+    pub(super) fn start_minion(&mut self, agent: usize) {
+        let old = &self.minions[agent];
+        self.earlier_waste += old.waste;
+        let born_ms = old.incarnation.born_ms + 1;
+        let id = format!("m{agent}-{born_ms}");
+        let incarnation =
+            Incarnation { id, born_ms, is_draining: false, ..old.incarnation.clone() };
+        self.log_line(&format!("m{agent} starts id={}", incarnation.id));
+        self.minions[agent] = Minion::new(incarnation).with_clock(self.now, MAX_LEASE);
+        self.send_heartbeat(agent);
+    }
+
+    /// A minion, for tests that change its behaviour.
+    pub fn minion(&mut self, agent: usize) -> &mut Minion {
+        &mut self.minions[agent]
+    }
+}
--- a/crates/proofs/src/jobs/world/mod.rs
+++ b/crates/proofs/src/jobs/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! The machines, the store and the minions in virtual time.
+//! Event loop of the simulation: runs the state machines, the fake store and the fake minions in
+//! virtual time, and records violated invariants.
 
 mod agents;
 mod callers;
@@ -29,88 +30,112 @@
 };
 use crate::store;
 
-/// One way between regions, inside one, and to the minion on the same machine.
-const FAR: Duration = Duration::from_millis(20);
-const NEAR: Duration = Duration::from_micros(900);
-const LOCAL: Duration = Duration::from_micros(100);
-/// Time of the store for an answer.
-const STORE: Duration = Duration::from_millis(4);
-/// How long the store keeps its history.
-const HISTORY: Duration = Duration::from_secs(20);
-/// Longest lease of a minion, which is what the planner grants.
-const HOLD: Duration = Duration::from_secs(6);
-/// Step of the world, in which tasks make progress.
+/// One-way network latency between regions, within a region, and between an agent and the minion
+/// on the same VM.
+const REMOTE_LATENCY: Duration = Duration::from_millis(20);
+const REGION_LATENCY: Duration = Duration::from_micros(900);
+const LOCAL_LATENCY: Duration = Duration::from_micros(100);
+/// Time that the store takes for a call.
+const STORE_LATENCY: Duration = Duration::from_millis(4);
+/// Time for which the store keeps its history of changes.
+const HISTORY_RETENTION: Duration = Duration::from_secs(20);
+/// Maximum lease of a minion: the same that the planner grants.
+const MAX_LEASE: Duration = Duration::from_secs(6);
+/// Interval in which tasks make progress.
 const STEP: Duration = Duration::from_millis(5);
 const ENTRY_TICK: Duration = Duration::from_millis(50);
 const AGENT_TICK: Duration = Duration::from_millis(60);
-const BEAT: Duration = Duration::from_millis(1_500);
-/// Key of the configuration.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Store key of the configuration.
 const CONFIG: &str = "config";
-/// Unix time at the start of the world.
+/// Unix time at simulation time zero.
 const EPOCH: Duration = Duration::from_secs(1_790_000_000);
 
 struct EntryNode {
     front: front::machine::Machine,
     planner: Option<Planner>,
     region: usize,
-    life: u64,
+    generation: u64,
     is_up: bool,
     reaches_store: bool,
-    frozen_until: Duration,
+    paused_until: Duration,
 }
 
 struct AgentNode {
     machine: runner::machine::Machine,
     region: usize,
-    life: u64,
+    generation: u64,
     is_up: bool,
-    /// Cut off from all but its minion.
-    is_cut: bool,
-    frozen_until: Duration,
+    /// Whether it is cut off from everything but its minion.
+    is_isolated: bool,
+    paused_until: Duration,
 }
 
 #[derive(Debug)]
 enum Action {
     EntryTick(usize, u64),
     AgentTick(usize, u64),
-    Beat(usize),
+    Heartbeat(usize),
     Step,
     Front(usize, u64, front::event::Event),
-    Store { entry: usize, life: u64, origin: Origin, call: Call, sent: Duration },
+    Store {
+        entry: usize,
+        generation: u64,
+        origin: Origin,
+        call: Call,
+        sent: Duration,
+    },
     Planner(usize, u64, planner::event::Event),
-    Poll { entry: usize, agent: usize, life: u64, ticket: u64, poll: Box<sapphire_jobs::Poll> },
-    Feed { entry: usize, asker: usize, life: u64, poll: sapphire_jobs::FeedPoll, sent: Duration },
+    Poll {
+        entry: usize,
+        agent: usize,
+        generation: u64,
+        ticket: u64,
+        poll: Box<sapphire_jobs::Poll>,
+    },
+    Feed {
+        entry: usize,
+        requester: usize,
+        generation: u64,
+        poll: sapphire_jobs::FeedPoll,
+        sent: Duration,
+    },
     Runner(usize, u64, runner::event::Event),
     Minion(Box<Request>),
-    AskLead { entry: usize, asker: Asker, life: u64 },
+    QueryLeader {
+        entry: usize,
+        from: Requester,
+        generation: u64,
+    },
     Submit(usize),
     Cancel(usize),
-    Look(usize),
+    ReadState(usize),
     StartEntry(usize),
     StartAgent(usize),
     Leave(usize, String),
     StartMinion(usize),
 }
 
-/// A call of an agent to its minion.
+/// Call of an agent to its minion.
 #[derive(Clone, Debug)]
 struct Request {
     agent: usize,
-    /// Life of the agent that takes the answer; none for a call that was carried out late.
-    life: Option<u64>,
+    /// Generation of the agent process that gets the reply; `None` for an order that is carried out
+    /// late, whose reply is lost.
+    generation: Option<u64>,
     ticket: u64,
     call: runner::minion::Call,
-    /// Identifier of the minion's life that is meant; empty for any.
+    /// Identifier that the minion must have; any if empty.
     target: String,
-    /// Start of the minion's life when it was sent.
+    /// `born_ms` of the minion's incarnation when the call was sent.
     born_ms: u64,
     sent: Duration,
-    /// When the agent gives up waiting.
-    until: Duration,
+    /// When the call times out at the agent.
+    timeout_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Asker {
+enum Requester {
     Entry(usize),
     Agent(usize),
 }
@@ -122,37 +147,37 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Waiting {
-    Agent { agent: usize, life: u64, ticket: u64 },
-    Entry { entry: usize, life: u64, sent: Duration },
+enum PendingPoll {
+    Agent { agent: usize, generation: u64, ticket: u64 },
+    Entry { entry: usize, generation: u64, sent: Duration },
 }
 
-/// A run that has ended `done`.
+/// Run of a task that has ended as done.
 #[derive(Clone, Debug)]
-struct Done {
+struct Completion {
     agent: usize,
-    /// Start of its minion's life.
+    /// `born_ms` of its minion's incarnation.
     born_ms: u64,
     number: RunNumber,
     at: Duration,
-    is_noted: bool,
-    /// Starts of its task since.
+    is_acknowledged: bool,
+    /// Descriptions of the starts of the same task since then.
     starts: Vec<String>,
 }
 
-/// How often a caller was told that its job was not taken in.
+/// Refused submissions of one job.
 #[derive(Clone, Copy, Debug, Default)]
 struct Refusal {
     count: u32,
-    /// When it may come again.
-    until: Duration,
+    /// When the caller may submit again.
+    retry_at: Duration,
 }
 
-/// The world.
-pub struct World {
+/// Simulation of one fleet.
+pub struct Simulation {
     now: Duration,
     queue: BTreeMap<(Duration, u64), Action>,
-    last: u64,
+    last_number: u64,
     rng: Pcg32,
     store: store::Store,
     is_store_up: bool,
@@ -160,62 +185,64 @@
     entries: Vec<EntryNode>,
     agents: Vec<AgentNode>,
     minions: Vec<Minion>,
-    askers: BTreeMap<u64, Waiting>,
+    pending_polls: BTreeMap<u64, PendingPoll>,
     truth: BTreeMap<(String, u32), Truth>,
     arrivals: Vec<Arrival>,
     offset: Duration,
-    shown: BTreeMap<(String, i32), Duration>,
+    reported: BTreeMap<(String, i32), Duration>,
     accepted: BTreeMap<String, Duration>,
-    /// Jobs that a caller was told are not taken in, with when it last was.
+    /// Latest refusal of each job that was refused.
     refused: BTreeMap<String, Duration>,
     refusals: BTreeMap<usize, Refusal>,
     cancelled: BTreeMap<String, Duration>,
     started: BTreeMap<String, Duration>,
-    done: BTreeMap<Task, Vec<Done>>,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
-    /// Log lines, with time and process.
+    completions: BTreeMap<Task, Vec<Completion>>,
+    /// Descriptions of the violated invariants.
+    pub violations: Vec<String>,
+    /// Log lines, each with its time and process.
     pub log: Vec<String>,
-    /// Share of orders to minions that get no answer and are carried out late.
+    /// Share of the orders to minions that get no reply and are carried out late.
     pub late_orders: f64,
-    /// Share of orders that minions refuse because they are unhealthy, without doing anything.
+    /// Share of the orders that minions refuse as unhealthy and don't carry out.
     pub refused_orders: f64,
-    /// How often a caller comes again with a job that was not taken in.
+    /// How often a caller submits a refused job again.
     pub retries: u32,
-    lost_waste: f64,
+    earlier_waste: f64,
     policy: Policy,
-    /// Reads of the whole configuration.
+    /// Number of reads of the configuration.
     pub catalog_reads: usize,
-    /// Watches of the configuration.
+    /// Number of watches of the configuration.
     pub catalog_watches: usize,
 }
 
-/// How a world is set up.
+/// Parameters of a simulation.
 pub struct Options<'a> {
-    /// The deployment.
+    /// Deployment.
     pub site: &'a Site,
-    /// Jobs that come.
+    /// Jobs that are submitted.
     pub arrivals: Vec<Arrival>,
-    /// Seed of what happens by chance.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Mechanisms of the policy.
+    /// Planning policy.
     pub policy: Policy,
-    /// How many times faster the fastest worker is than the slowest.
+    /// Upper bound for how many times faster the fastest worker is than the slowest; 1 for equal
+    /// workers.
     pub speeds: f64,
 }
 
-/// Time before the first job.
-const LEAD_IN: Duration = Duration::from_secs(4);
+/// Time from the start of the simulation to the start of the load, in which a planner takes
+/// office.
+const WARM_UP: Duration = Duration::from_secs(4);
 
-impl World {
-    /// A world with one entry a region and an agent beside each worker.
+impl Simulation {
+    /// Simulation with one entry in each region and an agent on each worker.
     pub fn new(options: Options<'_>) -> Self {
-        let mut world = World {
+        let mut sim = Simulation {
             now: Duration::from_secs(100),
             queue: BTreeMap::new(),
-            last: 0,
+            last_number: 0,
             rng: Pcg32::seed_from_u64(options.seed),
-            store: store::Store::with_history(HISTORY),
+            store: store::Store::with_history(HISTORY_RETENTION),
             catalog_reads: 0,
             catalog_watches: 0,
             is_store_up: true,
@@ -223,54 +250,54 @@
             entries: Vec::new(),
             agents: Vec::new(),
             minions: Vec::new(),
-            askers: BTreeMap::new(),
+            pending_polls: BTreeMap::new(),
             truth: BTreeMap::new(),
             offset: Duration::ZERO,
-            shown: BTreeMap::new(),
+            reported: BTreeMap::new(),
             accepted: BTreeMap::new(),
             refused: BTreeMap::new(),
             refusals: BTreeMap::new(),
             retries: u32::MAX,
             cancelled: BTreeMap::new(),
             started: BTreeMap::new(),
-            done: BTreeMap::new(),
-            broken: Vec::new(),
+            completions: BTreeMap::new(),
+            violations: Vec::new(),
             log: Vec::new(),
             late_orders: 0.0,
             refused_orders: 0.0,
-            lost_waste: 0.0,
+            earlier_waste: 0.0,
             policy: options.policy,
             arrivals: options.arrivals,
         };
-        world.offset = world.now + LEAD_IN;
-        world.configure(options.site);
+        sim.offset = sim.now + WARM_UP;
+        sim.configure(options.site);
         for region in 0..options.site.workers.len() {
-            world.add_entry(region);
+            sim.add_entry(region);
         }
         for (region, count) in options.site.workers.iter().enumerate() {
             for index in 0..*count {
-                let beat = Duration::from_millis(100 * world.agents.len() as u64);
-                world.add_worker(options.site, region, index, beat);
+                let first_heartbeat = Duration::from_millis(100 * sim.agents.len() as u64);
+                sim.add_worker(options.site, region, index, first_heartbeat);
             }
         }
-        world.draw_speeds(options.speeds);
-        for index in 0..world.arrivals.len() {
-            let arrival = &world.arrivals[index];
+        sim.draw_speeds(options.speeds);
+        for index in 0..sim.arrivals.len() {
+            let arrival = &sim.arrivals[index];
             for (step, truth) in arrival.truth.iter().enumerate() {
-                world.truth.insert((arrival.job.id.clone(), step as u32), truth.clone());
+                sim.truth.insert((arrival.job.id.clone(), step as u32), truth.clone());
             }
-            let at = world.offset + arrival.at;
+            let at = sim.offset + arrival.at;
             let cancel = arrival.cancel_after;
-            world.at(at, Action::Submit(index));
+            sim.at(at, Action::Submit(index));
             if let Some(after) = cancel {
-                world.at(at + after, Action::Cancel(index));
+                sim.at(at + after, Action::Cancel(index));
             }
         }
-        world.at(world.now + STEP, Action::Step);
-        world
+        sim.at(sim.now + STEP, Action::Step);
+        sim
     }
 
-    /// Writes the configuration: one queue a kind, four organisations.
+    /// Writes the configuration to the store; its content is that of [`settings::read_catalog`].
     fn configure(&mut self, _site: &Site) {
         let put = Call::Put {
             key: CONFIG.to_owned(),
@@ -288,19 +315,19 @@
             front,
             planner: None,
             region,
-            life: 1,
+            generation: 1,
             is_up: true,
             reaches_store: true,
-            frozen_until: Duration::ZERO,
+            paused_until: Duration::ZERO,
         });
         self.after(Duration::from_millis(index as u64), Action::EntryTick(index, 1));
     }
 
-    fn front_options(&self, index: usize, life: u64) -> front::options::Options {
+    fn front_options(&self, index: usize, process_generation: u64) -> front::options::Options {
         front::options::Options {
             name: format!("e{index}"),
             address: format!("e{index}"),
-            generation: life,
+            generation: process_generation,
             entries: (0..3).map(|other| format!("e{other}")).collect(),
             catalog_key: CONFIG.to_owned(),
             read_catalog: settings::read_catalog,
@@ -310,44 +337,44 @@
         }
     }
 
-    fn add_worker(&mut self, site: &Site, region: usize, index: usize, beat: Duration) {
+    fn add_worker(&mut self, site: &Site, region: usize, index: usize, first_heartbeat: Duration) {
         let number = self.agents.len();
         let incarnation = Incarnation {
             id: format!("m{number}"),
             born_ms: 1,
             service: "desk".to_owned(),
-            labels: vec!["a".to_owned(), format!("r{region}-{}", index / site.rack)],
-            rack: format!("r{region}-{}", index / site.rack),
+            labels: vec!["a".to_owned(), format!("r{region}-{}", index / site.workers_per_rack)],
+            rack: format!("r{region}-{}", index / site.workers_per_rack),
             capacity: Some(site.capacity.message()),
             ..Incarnation::default()
         };
-        self.minions.push(Minion::new(incarnation).begun(Duration::ZERO, HOLD));
+        self.minions.push(Minion::new(incarnation).with_clock(Duration::ZERO, MAX_LEASE));
         let machine = runner::machine::Machine::new(settings::runner_options(number, 1));
         self.agents.push(AgentNode {
             machine,
             region,
-            life: 1,
+            generation: 1,
             is_up: true,
-            is_cut: false,
-            frozen_until: Duration::ZERO,
+            is_isolated: false,
+            paused_until: Duration::ZERO,
         });
         self.after(Duration::from_millis(number as u64), Action::AgentTick(number, 1));
-        self.after(beat, Action::Beat(number));
+        self.after(first_heartbeat, Action::Heartbeat(number));
     }
 
-    /// Makes workers as unequal as asked, evenly on a logarithmic scale.
+    /// Draws the workers' speeds, uniformly on a logarithmic scale.
     fn draw_speeds(&mut self, speeds: f64) {
         if speeds > 1.0 {
             let half = speeds.ln() / 2.0;
             for minion in &mut self.minions {
-                minion.slow = self.rng.random_range(-half..half).exp();
+                minion.slowdown = self.rng.random_range(-half..half).exp();
             }
         }
     }
 
     fn at(&mut self, at: Duration, action: Action) {
-        self.last += 1;
-        self.queue.insert((at.max(self.now), self.last), action);
+        self.last_number += 1;
+        self.queue.insert((at.max(self.now), self.last_number), action);
     }
 
     fn after(&mut self, after: Duration, action: Action) {
@@ -358,62 +385,62 @@
         Moment { steady: self.now, unix: EPOCH + self.now }
     }
 
-    /// Time from the first arrival.
+    /// Time since the start of the load.
     pub fn time(&self) -> Duration {
         self.now.saturating_sub(self.offset)
     }
 
-    /// Runs until so long after the first arrival.
+    /// Runs until this time after the start of the load.
     pub fn run_until(&mut self, time: Duration) {
         let until = self.offset + time;
         while let Some(((at, _), _)) = self.queue.first_key_value() {
             if *at > until {
                 break;
             }
-            let ((at, _), action) = self.queue.pop_first().expect("just seen");
+            let ((at, _), action) = self.queue.pop_first().expect("the queue is not empty");
             self.now = at;
-            self.act(action);
+            self.perform(action);
         }
         self.now = until;
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::EntryTick(entry, life) => self.entry_tick(entry, life),
-            Action::AgentTick(agent, life) => {
-                if self.agents[agent].life == life && self.agents[agent].is_up {
-                    self.tell_agent(agent, life, runner::event::Event::Tick);
-                    self.after(AGENT_TICK, Action::AgentTick(agent, life));
+            Action::EntryTick(entry, generation) => self.entry_tick(entry, generation),
+            Action::AgentTick(agent, generation) => {
+                if self.agents[agent].generation == generation && self.agents[agent].is_up {
+                    self.agent_event(agent, generation, runner::event::Event::Tick);
+                    self.after(AGENT_TICK, Action::AgentTick(agent, generation));
                 }
             }
-            Action::Beat(agent) => self.beat(agent),
+            Action::Heartbeat(agent) => self.heartbeat(agent),
             Action::Step => self.step(),
-            Action::Front(entry, life, event) => self.tell_front(entry, life, event),
-            Action::Store { entry, life, origin, call, sent } => {
-                self.store_call(entry, life, origin, call, sent);
+            Action::Front(entry, generation, event) => self.front_event(entry, generation, event),
+            Action::Store { entry, generation, origin, call, sent } => {
+                self.store_call(entry, generation, origin, call, sent);
             }
-            Action::Planner(entry, life, event) => self.tell_planner(entry, life, event),
-            Action::Poll { entry, agent, life, ticket, poll } => {
-                self.poll(entry, agent, life, ticket, *poll);
+            Action::Planner(to, generation, event) => self.planner_event(to, generation, event),
+            Action::Poll { entry, agent, generation, ticket, poll } => {
+                self.poll(entry, agent, generation, ticket, *poll);
             }
-            Action::Feed { entry, asker, life, poll, sent } => {
-                self.feed(entry, asker, life, poll, sent);
+            Action::Feed { entry, requester, generation, poll, sent } => {
+                self.feed(entry, requester, generation, poll, sent);
             }
-            Action::Runner(agent, life, event) => self.tell_agent(agent, life, event),
+            Action::Runner(agent, generation, event) => self.agent_event(agent, generation, event),
             Action::Minion(request) => self.minion_call(*request),
-            Action::AskLead { entry, asker, life } => self.ask_lead(entry, asker, life),
+            Action::QueryLeader { entry, from, generation } => self.leader(entry, from, generation),
             Action::Submit(index) => self.submit(index),
             Action::Cancel(index) => self.cancel(index),
-            Action::Look(index) => self.look(index),
+            Action::ReadState(index) => self.read_state(index),
             Action::StartEntry(entry) => self.start_entry(entry),
             Action::StartAgent(agent) => self.start_agent(agent),
-            Action::Leave(agent, id) => self.leave(agent, &id),
+            Action::Leave(agent, id) => self.deregister(agent, &id),
             Action::StartMinion(agent) => self.start_minion(agent),
         }
     }
 
-    fn latency(&self, left: usize, right: usize) -> Duration {
-        if left == right { NEAR } else { FAR }
+    fn latency(&self, from: usize, to: usize) -> Duration {
+        if from == to { REGION_LATENCY } else { REMOTE_LATENCY }
     }
 
     fn entry_of(address: &str) -> Option<usize> {
@@ -430,7 +457,7 @@
         self.entries.len()
     }
 
-    fn note(&mut self, text: &str) {
+    fn log_line(&mut self, text: &str) {
         let time = self.now.as_secs_f64() - self.offset.as_secs_f64();
         self.log.push(format!("{time:.3} {text}"));
     }
--- a/crates/proofs/src/jobs/world/settings.rs
+++ b/crates/proofs/src/jobs/simulation/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes, and the fake configuration.
+//! Options of the processes, and the fake configuration.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 
 use crate::jobs::{load, sites};
 
-pub(super) fn runner_options(agent: usize, life: u64) -> runner::options::Options {
+pub(super) fn runner_options(agent: usize, process_generation: u64) -> runner::options::Options {
     runner::options::Options {
         name: format!("a{agent}"),
         address: format!("a{agent}"),
-        generation: life,
+        generation: process_generation,
         entries: (0..3).map(|entry| format!("e{entry}")).collect(),
         minion_address: format!("m{agent}"),
         stop_timeout: Duration::from_millis(400),
@@ -25,7 +25,7 @@
     planner::options::Options {
         name: format!("e{entry}"),
         lease: Duration::from_secs(6),
-        longest_lease: super::HOLD,
+        longest_lease: super::MAX_LEASE,
         clock_drift_milli: 20,
         stop_timeout: Duration::from_millis(400),
         status_retention: Duration::from_secs(120),
@@ -35,7 +35,8 @@
     }
 }
 
-/// The fake configuration: the queues of both sites, four organisations whose name is their key.
+/// Fake configuration, whatever the bytes: the queues of all sites, and four organisations whose
+/// API key is their name.
 pub(super) fn read_catalog(_bytes: &Bytes, revision: u64) -> Result<Catalog, String> {
     let kinds = [sites::ATLANTICA, sites::PASTIZAL, sites::MAVUNO];
     let kinds = kinds.iter().flat_map(|site| site.kinds);
@@ -45,7 +46,7 @@
         prefix: format!("/{}/", kind.name),
         service: "desk".to_owned(),
         priority: kind.priority,
-        max_attempts: kind.attempts,
+        max_attempts: kind.max_attempts,
         slack: kind.slack.0,
         target_latency: Duration::from_secs_f64(kind.slack.1),
         is_anonymous: false,
--- a/crates/proofs/src/jobs/world/store_calls.rs
+++ b/crates/proofs/src/jobs/simulation/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, watches, and their answers.
+//! Carries calls and watches to the store and their replies back.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use sapphire_planner::{self as planner};
 use sapphire_store::call::{Call, Reply};
 
-use super::{Action, Origin, STORE, World};
+use super::{Action, Origin, STORE_LATENCY, Simulation};
 
-impl World {
+impl Simulation {
     pub(super) fn send_store(&mut self, entry: usize, origin: Origin, call: Call) {
         use front::event::Operation;
-        let life = self.entries[entry].life;
+        let generation = self.entries[entry].generation;
         let sent = self.now;
         match &origin {
             Origin::Front(Operation::Catalog) => self.catalog_reads += 1,
@@ -19,13 +19,16 @@
             _ => {}
         }
         let latency = self.latency(self.entries[entry].region, 0);
-        self.after(latency + STORE, Action::Store { entry, life, origin, call, sent });
+        self.after(
+            latency + STORE_LATENCY,
+            Action::Store { entry, generation, origin, call, sent },
+        );
     }
 
     pub(super) fn store_call(
         &mut self,
         entry: usize,
-        life: u64,
+        generation: u64,
         origin: Origin,
         call: Call,
         sent: Duration,
@@ -33,7 +36,7 @@
         let timeout = Duration::from_millis(700);
         if !self.is_store_up || !self.entries[entry].reaches_store {
             let reply = Reply::Unavailable("no answer".to_owned());
-            self.store_answer(entry, life, origin, sent, reply, timeout);
+            self.deliver(entry, generation, origin, sent, reply, timeout);
             return;
         }
         let until = match &call {
@@ -43,18 +46,18 @@
         match self.store.call(self.now, &call) {
             Some(reply) => {
                 let latency = self.latency(self.entries[entry].region, 0);
-                self.store_answer(entry, life, origin, sent, reply, latency);
+                self.deliver(entry, generation, origin, sent, reply, latency);
             }
-            None => self.watches.push((entry, life, origin, call, until)),
+            None => self.watches.push((entry, generation, origin, call, until)),
         }
-        self.wake_watches();
+        self.poll_watches();
     }
 
-    pub(super) fn wake_watches(&mut self) {
-        for (entry, life, origin, call, until) in std::mem::take(&mut self.watches) {
+    pub(super) fn poll_watches(&mut self) {
+        for (entry, generation, origin, call, until) in std::mem::take(&mut self.watches) {
             let latency = self.latency(self.entries[entry].region, 0);
             if !self.entries[entry].reaches_store || !self.is_store_up {
-                self.watches.push((entry, life, origin, call, until));
+                self.watches.push((entry, generation, origin, call, until));
                 continue;
             }
             let is_over = self.now >= until;
@@ -65,16 +68,16 @@
                 call => call,
             };
             match self.store.call(self.now, &call) {
-                Some(reply) => self.store_answer(entry, life, origin, self.now, reply, latency),
-                None => self.watches.push((entry, life, origin, call, until)),
+                Some(reply) => self.deliver(entry, generation, origin, self.now, reply, latency),
+                None => self.watches.push((entry, generation, origin, call, until)),
             }
         }
     }
 
-    pub(super) fn store_answer(
+    pub(super) fn deliver(
         &mut self,
         entry: usize,
-        life: u64,
+        generation: u64,
         origin: Origin,
         sent: Duration,
         reply: Reply,
@@ -83,13 +86,13 @@
         match origin {
             Origin::Front(operation) => {
                 let event = front::event::Event::Store { operation, sent, reply };
-                self.after(after, Action::Front(entry, life, event));
+                self.after(after, Action::Front(entry, generation, event));
             }
             Origin::Planner(term, operation) => {
                 let planner = self.entries[entry].planner.as_ref();
                 if planner.is_some_and(|planner| planner.term() == term) {
                     let event = planner::event::Event::Store(operation, reply);
-                    self.after(after, Action::Planner(entry, life, event));
+                    self.after(after, Action::Planner(entry, generation, event));
                 }
             }
         }
--- a/crates/proofs/tests/late/mod.rs
+++ b/crates/proofs/tests/late/mod.rs
@@ -6,8 +6,8 @@
 use sapphire_plan::policy::Policy;
 use sapphire_proofs::jobs::{
     load::{self, Arrival},
+    simulation::{Options, Simulation},
     sites,
-    world::{Options, World},
 };
 
 use crate::jobs::{secs, verify};
@@ -43,7 +43,7 @@
 fn play(
     seeds: impl Iterator<Item = u64> + Clone,
     arrivals: fn(u64) -> Vec<Arrival>,
-    faults: fn(&mut World, u64),
+    faults: fn(&mut Simulation, u64),
 ) {
     let mut stories = Vec::new();
     let count = seeds.clone().count();
@@ -56,18 +56,18 @@
             policy: Policy::default(),
             speeds: 1.0,
         };
-        let mut world = World::new(options);
-        world.late_orders = SHARE;
-        faults(&mut world, seed);
-        world.run_until(secs(LATE));
-        world.late_orders = 0.0;
-        world.run_until(secs(LATE + LATEST));
+        let mut sim = Simulation::new(options);
+        sim.late_orders = SHARE;
+        faults(&mut sim, seed);
+        sim.run_until(secs(LATE));
+        sim.late_orders = 0.0;
+        sim.run_until(secs(LATE + LATEST));
         for time in (LATE + LATEST) as u32..END as u32 {
-            if world.broken.is_empty() && verify(&world, &arrivals).is_err() {
-                world.run_until(secs(f64::from(time)));
+            if sim.violations.is_empty() && verify(&sim, &arrivals).is_err() {
+                sim.run_until(secs(f64::from(time)));
             }
         }
-        if let Err(story) = verify(&world, &arrivals) {
+        if let Err(story) = verify(&sim, &arrivals) {
             stories.push((seed, story));
         }
     }
@@ -113,12 +113,12 @@
     play(2_100..=2_119, arrivals, |_, _| {});
 }
 
-fn restart_agents(world: &mut World, seed: u64) {
+fn restart_agents(sim: &mut Simulation, seed: u64) {
     for round in 0..16_u64 {
-        world.run_until(secs(2.0 + 1.1 * round as f64));
+        sim.run_until(secs(2.0 + 1.1 * round as f64));
         for other in 0..2 {
-            let agent = pick(seed + 3 * round + 5 * other, world.agents());
-            world.kill_agent(agent, secs(0.1 + 0.3 * ((seed + round + other) % 4) as f64));
+            let agent = pick(seed + 3 * round + 5 * other, sim.agents());
+            sim.kill_agent(agent, secs(0.1 + 0.3 * ((seed + round + other) % 4) as f64));
         }
     }
 }
@@ -129,13 +129,13 @@
     play(2_200..=2_219, draw, restart_agents);
 }
 
-fn change_planner(world: &mut World, seed: u64) {
+fn change_planner(sim: &mut Simulation, seed: u64) {
     for round in 0..4_u64 {
-        world.run_until(secs(3.0 + 5.0 * round as f64));
-        let planner = world.planning().unwrap_or_default();
+        sim.run_until(secs(3.0 + 5.0 * round as f64));
+        let planner = sim.planner_entry().unwrap_or_default();
         match (seed + round) % 2 {
-            0 => world.kill_entry(planner, secs(1.0)),
-            _ => world.freeze_entry(planner, secs(4.0)),
+            0 => sim.kill_entry(planner, secs(1.0)),
+            _ => sim.pause_entry(planner, secs(4.0)),
         }
     }
 }
@@ -146,12 +146,12 @@
     play(2_300..=2_319, draw, change_planner);
 }
 
-fn drain_minions(world: &mut World, seed: u64) {
+fn drain_minions(sim: &mut Simulation, seed: u64) {
     for round in 0..9_u64 {
-        world.run_until(secs(2.0 + 2.0 * round as f64));
+        sim.run_until(secs(2.0 + 2.0 * round as f64));
         for other in 0..2 {
-            let agent = pick(seed + 4 * round + 7 * other, world.agents());
-            world.drain_minion(agent, secs(5.0 + 2.0 * (round % 4) as f64));
+            let agent = pick(seed + 4 * round + 7 * other, sim.agents());
+            sim.drain_minion(agent, secs(5.0 + 2.0 * (round % 4) as f64));
         }
     }
 }
@@ -162,10 +162,10 @@
     play(2_400..=2_419, draw, drain_minions);
 }
 
-fn restart_minions(world: &mut World, seed: u64) {
+fn restart_minions(sim: &mut Simulation, seed: u64) {
     for round in 0..7_u64 {
-        world.run_until(secs(3.0 + 2.5 * round as f64));
-        world.crash_minion(pick(seed + 5 * round, world.agents()));
+        sim.run_until(secs(3.0 + 2.5 * round as f64));
+        sim.crash_minion(pick(seed + 5 * round, sim.agents()));
     }
 }
 
@@ -207,20 +207,20 @@
     play(70_000..=70_029, draw, restart_minions);
 }
 
-fn restart_all(world: &mut World, seed: u64) {
+fn restart_all(sim: &mut Simulation, seed: u64) {
     for round in 0..14_u64 {
-        world.run_until(secs(2.0 + 1.3 * round as f64));
-        let agent = pick(seed + 5 * round, world.agents());
-        let planner = world.planning().unwrap_or_default();
-        world.crash_minion(agent);
+        sim.run_until(secs(2.0 + 1.3 * round as f64));
+        let agent = pick(seed + 5 * round, sim.agents());
+        let planner = sim.planner_entry().unwrap_or_default();
+        sim.crash_minion(agent);
         match (seed + round) % 7 {
-            0 => world.kill_agent(agent, secs(0.3)),
-            1 => world.kill_entry(planner, secs(1.0)),
-            2 => world.freeze_agent(agent, secs(1.5)),
-            3 => world.kill_agent(pick(seed + 3 * round, world.agents()), secs(0.8)),
-            4 => world.freeze_entry(planner, secs(4.0)),
-            5 => world.crash_minion(pick(seed + round, world.agents())),
-            _ => world.drain_minion(pick(seed + 7 * round, world.agents()), secs(4.0)),
+            0 => sim.kill_agent(agent, secs(0.3)),
+            1 => sim.kill_entry(planner, secs(1.0)),
+            2 => sim.pause_agent(agent, secs(1.5)),
+            3 => sim.kill_agent(pick(seed + 3 * round, sim.agents()), secs(0.8)),
+            4 => sim.pause_entry(planner, secs(4.0)),
+            5 => sim.crash_minion(pick(seed + round, sim.agents())),
+            _ => sim.drain_minion(pick(seed + 7 * round, sim.agents()), secs(4.0)),
         }
     }
 }
@@ -249,17 +249,17 @@
 /// Guards against ways of settling a late order that hold for one fault and not for several at once.
 #[test]
 fn late_orders_among_all_faults_break_no_promise() {
-    play(2_600..=2_619, draw, |world, seed| {
+    play(2_600..=2_619, draw, |sim, seed| {
         for round in 0..9_u64 {
-            world.run_until(secs(2.0 + 2.0 * round as f64));
-            let agent = pick(seed + 4 * round, world.agents());
-            let planner = world.planning().unwrap_or_default();
+            sim.run_until(secs(2.0 + 2.0 * round as f64));
+            let agent = pick(seed + 4 * round, sim.agents());
+            let planner = sim.planner_entry().unwrap_or_default();
             match (seed + round) % 5 {
-                0 => world.kill_agent(agent, secs(0.8)),
-                1 => world.drain_minion(agent, secs(5.0)),
-                2 => world.kill_entry(planner, secs(1.0)),
-                3 => world.freeze_entry(planner, secs(4.0)),
-                _ => world.freeze_agent(agent, secs(2.0)),
+                0 => sim.kill_agent(agent, secs(0.8)),
+                1 => sim.drain_minion(agent, secs(5.0)),
+                2 => sim.kill_entry(planner, secs(1.0)),
+                3 => sim.pause_entry(planner, secs(4.0)),
+                _ => sim.pause_agent(agent, secs(2.0)),
             }
         }
     });
--- a/crates/proofs/tests/overload/mod.rs
+++ b/crates/proofs/tests/overload/mod.rs
@@ -6,31 +6,31 @@
 use sapphire_proofs::jobs::{
     figures,
     load::{self, Arrival, Site},
+    simulation::{Options, Simulation},
     sites,
-    world::{Options, World},
 };
 
 use crate::jobs::secs;
 
 const LENGTH: Duration = Duration::from_secs(20);
 
-fn world(site: &'static Site, seed: u64, scale: f64) -> (World, Vec<Arrival>) {
+fn sim(site: &'static Site, seed: u64, scale: f64) -> (Simulation, Vec<Arrival>) {
     let arrivals = load::draw(site, seed, LENGTH, scale);
     let policy = Policy::default();
     let options = Options { site, arrivals: arrivals.clone(), seed, policy, speeds: 1.0 };
-    let mut world = World::new(options);
-    world.retries = 4;
-    (world, arrivals)
+    let mut sim = Simulation::new(options);
+    sim.retries = 4;
+    (sim, arrivals)
 }
 
 /// What callers have earned of a day, against what they would of a day of the usual load that is
 /// served whole, and the runs that were done and stopped.
 fn play(seed: u64, scale: f64) -> (f64, usize, usize) {
-    let (mut world, arrivals) = world(&sites::ATLANTICA_GROWN, seed, scale);
-    world.run_until(secs(80.0));
-    assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} load {scale}");
-    let count = |what: &str| world.log.iter().filter(|line| line.contains(what)).count();
-    let figures = figures::figures(&sites::ATLANTICA_GROWN, &arrivals, &world);
+    let (mut sim, arrivals) = sim(&sites::ATLANTICA_GROWN, seed, scale);
+    sim.run_until(secs(80.0));
+    assert_eq!(sim.violations, Vec::<String>::new(), "seed {seed} load {scale}");
+    let count = |what: &str| sim.log.iter().filter(|line| line.contains(what)).count();
+    let figures = figures::figures(&sites::ATLANTICA_GROWN, &arrivals, &sim);
     (figures.mean * scale, count(" ended=DONE"), count(" ended=STOPPED"))
 }
 
@@ -58,12 +58,12 @@
 #[test]
 fn new_workers_receive_work_within_a_second() {
     let site = &sites::ATLANTICA;
-    let (mut world, _) = world(site, 3, 3.0);
-    world.run_until(secs(10.0));
-    let joined: Vec<usize> = (0..3).map(|region| world.join(site, region)).collect();
-    world.run_until(secs(11.0));
+    let (mut sim, _) = sim(site, 3, 3.0);
+    sim.run_until(secs(10.0));
+    let joined: Vec<usize> = (0..3).map(|region| sim.add_idle_worker(site, region)).collect();
+    sim.run_until(secs(11.0));
     for agent in joined {
-        assert!(!world.running(agent).is_empty(), "m{agent} stands idle");
+        assert!(!sim.running(agent).is_empty(), "m{agent} stands idle");
     }
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(sim.violations, Vec::<String>::new());
 }
--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -121,7 +121,7 @@
         {
             self.check_start(sent, &task, number, before);
         }
-        for ended in std::mem::take(&mut self.minions[usize::from(agent)].noted) {
+        for ended in std::mem::take(&mut self.minions[usize::from(agent)].acknowledged) {
             self.check_noted(now, agent, &ended);
         }
         response
@@ -197,7 +197,7 @@
         if is_noted {
             broken.push("starts after a run of it had ended done");
         }
-        if std::mem::take(&mut self.minions[agent].overfilled) {
+        if std::mem::take(&mut self.minions[agent].is_overcommitted) {
             broken.push("overfills its minion");
         }
         for text in broken {
@@ -211,7 +211,7 @@
             return;
         };
         let (task, minion) = (Task::read(run), &self.minions[usize::from(agent)]);
-        let (born_ms, lapsed) = (minion.incarnation.born_ms, minion.lapsed);
+        let (born_ms, lapsed) = (minion.incarnation.born_ms, minion.last_expired_at);
         let is_meant = |done: &&mut Done| {
             (done.agent, done.born_ms, done.number) == (agent, born_ms, run.run)
                 && lapsed.is_none_or(|lapsed| lapsed < done.at)
@@ -229,12 +229,12 @@
     pub(super) fn lapse(&mut self, now: Duration) {
         for agent in 0..usize::from(AGENTS) {
             let minion = &mut self.minions[agent];
-            if now < minion.lease {
+            if now < minion.lease_expires_at {
                 continue;
             }
-            minion.lapsed = Some(now);
+            minion.last_expired_at = Some(now);
             let count = minion.active.len();
-            minion.lapse(&self.truth);
+            minion.expire_lease(&self.truth);
             if count > 0 {
                 self.write(&format!("m{agent} lapsed, {count} tasks end"));
             }
@@ -290,7 +290,7 @@
         seen.extend(&present);
         let is_stopped =
             members.iter().any(|it| active(it).stop_at.is_some_and(|stop| now >= stop));
-        let has_waited = |it: &(usize, Task)| now >= active(it).since + ALONE;
+        let has_waited = |it: &(usize, Task)| now >= active(it).started_at + ALONE;
         let endings: Vec<Ending> = if is_stopped {
             let is_asked = |it| active(it).stop_at.is_some();
             let ending = |it| if is_asked(it) { Ending::Stopped } else { Ending::Broken };
@@ -298,12 +298,13 @@
         } else if seen.len() > present.len() {
             vec![Ending::Broken; members.len()]
         } else if is_whole || truth.members == 1 {
-            let done = members.iter().map(|it| active(it).done).max().unwrap_or_default() + time;
+            let done =
+                members.iter().map(|it| active(it).progress).max().unwrap_or_default() + time;
             let is_done = done >= truth.work;
             for (at, task) in members {
                 let minion = &mut self.minions[*at];
                 if let Some(active) = minion.active.get_mut(task) {
-                    active.done += time;
+                    active.progress += time;
                 }
             }
             if !is_done {
@@ -316,7 +317,7 @@
         } else {
             return;
         };
-        let since = members.iter().map(|it| self.minions[it.0].active[&it.1].since).min();
+        let since = members.iter().map(|it| self.minions[it.0].active[&it.1].started_at).min();
         if endings.contains(&Ending::Alone)
             && since.is_some_and(|since| since > self.trouble_until + NEAR)
         {
@@ -330,7 +331,7 @@
     fn end(&mut self, now: Duration, agent: usize, task: &Task, ending: Ending, truth: &Truth) {
         let minion = &mut self.minions[agent];
         let Some(number) = minion.active.get(task).map(|active| active.number) else { return };
-        minion.end(task, ending, Some(truth));
+        minion.end_task(task, ending, Some(truth));
         let born_ms = minion.incarnation.born_ms;
         self.write(&format!("m{agent} end task={task} run={number} {}", ending.as_str_name()));
         if ending == Ending::Done {
@@ -372,7 +373,7 @@
             members,
             wants_one_rack: false,
             checkpoints: false,
-            room: Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 1 },
+            resources: Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 1 },
         }
     }
 }
