--- a/crates/proofs/examples/long.rs
+++ b/crates/proofs/examples/long.rs
@@ -1,4 +1,5 @@
-//! Long randomised runs: `cargo run --release --package sapphire-proofs --example long`.
+//! Long randomised runs of entries and agents under load and faults:
+//! `cargo run --release --package sapphire-proofs --example long`.
 
 use std::time::{Duration, Instant};
 
--- a/crates/proofs/examples/policy_jobs.rs
+++ b/crates/proofs/examples/policy_jobs.rs
@@ -1,5 +1,5 @@
-//! Days of load without faults, drawn from seeds: how callers are served, by site and by setting
-//! of the policy, side by side.
+//! Compares how well callers are served, by site and by setting of the policy, in runs without
+//! faults whose load is drawn from seeds.
 
 use std::{process, thread, time::Duration};
 
@@ -51,15 +51,15 @@
     story: bool,
 }
 
-const LENGTH: Duration = Duration::from_secs(34);
-const FINISH: Duration = Duration::from_secs(60);
-/// How often callers come again with a job that was not taken in.
+const LOAD_DURATION: Duration = Duration::from_secs(34);
+const END: Duration = Duration::from_secs(60);
+/// How often callers submit a refused job again.
 const RETRIES: u32 = 4;
 const THREADS: u64 = 5;
-/// What each thrown-away processor second takes from a day's worth; worth is 0 to 1.
+/// What each wasted processor second takes from a run's score, which is at most 1.
 const WASTE_PRICE: f64 = 2.1e-5;
 
-/// One way to serve a load.
+/// Scheduler to compare.
 #[derive(Clone, Debug)]
 enum Setting {
     Policy(String, Policy),
@@ -75,25 +75,30 @@
     }
 }
 
-/// The load and the workers of a day.
+/// Parameters of the load and the workers.
 #[derive(Clone, Copy, Debug)]
-struct Day {
+struct Scenario {
     scale: f64,
     error: Option<f64>,
     speeds: f64,
 }
 
-fn simulate(site: &Site, seed: u64, day: Day, setting: &Setting, story: bool) -> Figures {
-    let arrivals = load::draw_declared(site, seed, LENGTH, day.scale, day.error);
+fn simulate(site: &Site, seed: u64, scenario: Scenario, setting: &Setting, story: bool) -> Figures {
+    let arrivals = load::draw_declared(site, seed, LOAD_DURATION, scenario.scale, scenario.error);
     let policy = match setting {
         Setting::Baseline(order) => return baseline::simulate(site, &arrivals, *order),
         Setting::Policy(_, policy) => *policy,
     };
-    let options =
-        simulation::Options { site, arrivals: arrivals.clone(), seed, policy, speeds: day.speeds };
+    let options = simulation::Options {
+        site,
+        arrivals: arrivals.clone(),
+        seed,
+        policy,
+        speeds: scenario.speeds,
+    };
     let mut sim = simulation::Simulation::new(options);
     sim.retries = RETRIES;
-    sim.run_until(FINISH);
+    sim.run_until(END);
     if story {
         for line in &sim.log {
             println!("{line}");
@@ -105,14 +110,14 @@
     figures::figures(site, &arrivals, &sim)
 }
 
-/// Worth of a day as the users' weights have it.
-fn value(day: &Figures) -> f64 {
-    let min_share = day.kinds.iter().copied().fold(1.0, f64::min);
-    (0.45 * day.mean + 0.5 * day.windows + 0.15 * min_share) / 1.1 - day.waste * WASTE_PRICE
+/// Score of a run, by the users' weights.
+fn score(run: &Figures) -> f64 {
+    let min_share = run.kinds.iter().copied().fold(1.0, f64::min);
+    (0.45 * run.mean + 0.5 * run.windows + 0.15 * min_share) / 1.1 - run.waste * WASTE_PRICE
 }
 
-/// Plays all seeds, on a few threads.
-fn simulate_all(args: &Args, site: &Site, day: Day, setting: &Setting) -> Vec<Figures> {
+/// Simulates all seeds on [`THREADS`] threads.
+fn simulate_all(args: &Args, site: &Site, scenario: Scenario, setting: &Setting) -> Vec<Figures> {
     let seeds: Vec<u64> = (args.first..args.first + args.seeds).collect();
     let share = seeds.len().div_ceil(THREADS as usize).max(1);
     thread::scope(|scope| {
@@ -121,35 +126,38 @@
             .map(|part| {
                 scope.spawn(move || -> Vec<Figures> {
                     part.iter()
-                        .map(|seed| simulate(site, *seed, day, setting, args.story))
+                        .map(|seed| simulate(site, *seed, scenario, setting, args.story))
                         .collect()
                 })
             })
             .collect();
-        parts.into_iter().flat_map(|part| part.join().expect("a day ends")).collect()
+        parts
+            .into_iter()
+            .flat_map(|part| part.join().expect("the simulation does not panic"))
+            .collect()
     })
 }
 
-fn show(site: &Site, day: Day, setting: &Setting, figures: &[Figures]) {
+fn print_row(site: &Site, scenario: Scenario, setting: &Setting, figures: &[Figures]) {
     let count = figures.len() as f64;
-    let mean = |of: &dyn Fn(&Figures) -> f64| figures.iter().map(of).sum::<f64>() / count;
-    let whole = mean(&value);
-    let square = mean(&|it: &Figures| (value(it) - whole).powi(2));
-    let error = day.error.map_or("usual".to_owned(), |error| format!("{error:.1}"));
+    let mean_of = |of: &dyn Fn(&Figures) -> f64| figures.iter().map(of).sum::<f64>() / count;
+    let score_mean = mean_of(&score);
+    let variance = mean_of(&|it: &Figures| (score(it) - score_mean).powi(2));
+    let error = scenario.error.map_or("usual".to_owned(), |error| format!("{error:.1}"));
     println!(
-        "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {whole:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
+        "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {score_mean:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
         site.name,
         setting.name(),
-        day.scale,
-        day.speeds,
-        (square / count).sqrt(),
-        mean(&|it| it.mean),
-        mean(&|it| it.mean) * day.scale,
-        mean(&|it| it.windows),
-        mean(&|it| it.kinds[0]),
-        mean(&|it| it.kinds[1]),
-        mean(&|it| it.kinds[2]),
-        mean(&|it| it.waste),
+        scenario.scale,
+        scenario.speeds,
+        (variance / count).sqrt(),
+        mean_of(&|it| it.mean),
+        mean_of(&|it| it.mean) * scenario.scale,
+        mean_of(&|it| it.windows),
+        mean_of(&|it| it.kinds[0]),
+        mean_of(&|it| it.kinds[1]),
+        mean_of(&|it| it.kinds[2]),
+        mean_of(&|it| it.waste),
     );
 }
 
@@ -186,16 +194,20 @@
     let speeds = if args.speeds.is_empty() { vec![1.0] } else { args.speeds.clone() };
     let settings = settings(&args);
     let wanted = |site: &&&Site| args.site.as_ref().is_none_or(|name| name == site.name);
-    let mut days = Vec::new();
+    let mut scenarios = Vec::new();
     for scale in scales {
         for error in &errors {
-            days.extend(speeds.iter().map(|speeds| Day { scale, error: *error, speeds: *speeds }));
+            scenarios.extend(speeds.iter().map(|speeds| Scenario {
+                scale,
+                error: *error,
+                speeds: *speeds,
+            }));
         }
     }
     for site in sites.iter().filter(wanted) {
-        for day in &days {
+        for scenario in &scenarios {
             for setting in &settings {
-                show(site, *day, setting, &simulate_all(&args, site, *day, setting));
+                print_row(site, *scenario, setting, &simulate_all(&args, site, *scenario, setting));
             }
         }
     }
--- a/crates/proofs/examples/recovery.rs
+++ b/crates/proofs/examples/recovery.rs
@@ -1,86 +1,86 @@
-//! Recovery times in virtual time by kind of fault, and bytes between regions:
+//! Measures recovery times in virtual time by kind of fault, and the traffic between regions:
 //! `cargo run --release --package sapphire-proofs --example recovery`.
 
 use std::time::Duration;
 
-use sapphire_proofs::{chaos, world::World};
+use sapphire_proofs::{chaos, simulation::Simulation};
 use serde_json::json;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Longest recovery looked for.
-const MOST: Duration = Duration::from_secs(60);
+/// Longest time to wait for a recovery.
+const MAX_RECOVERY: Duration = Duration::from_secs(60);
 const SEEDS: u64 = 20;
 
-/// A fault and what puts it right, if it does not stay.
+/// Fault, how long it lasts before it is repaired, and the repair.
 struct Fault {
     name: &'static str,
-    strike: fn(&mut World),
-    lasts: Duration,
-    mend: fn(&mut World),
+    inject: fn(&mut Simulation),
+    duration: Duration,
+    repair: fn(&mut Simulation),
 }
 
-fn nothing(_: &mut World) {}
+fn no_repair(_: &mut Simulation) {}
 
-fn lose(world: &mut World, names: &[&str]) {
-    names.iter().for_each(|name| world.kill_vm(name));
+fn kill_vms(sim: &mut Simulation, names: &[&str]) {
+    names.iter().for_each(|name| sim.kill_vm(name));
 }
 
-fn mend_network(world: &mut World) {
-    world.network = Default::default();
+fn repair_network(sim: &mut Simulation) {
+    sim.network = Default::default();
 }
 
 const FAULTS: [Fault; 7] = [
     Fault {
         name: "planning entry lost",
-        strike: |world| {
-            let planner = world.planner("norte").expect("settled");
-            world.kill_entry(&planner);
+        inject: |sim| {
+            let planner = sim.planner("norte").expect("an entry plans");
+            sim.kill_entry(&planner);
         },
-        lasts: Duration::ZERO,
-        mend: nothing,
+        duration: Duration::ZERO,
+        repair: no_repair,
     },
     Fault {
         name: "agent process lost",
-        strike: |world| world.kill_agent("a4"),
-        lasts: Duration::ZERO,
-        mend: |world| world.start_agent("a4"),
+        inject: |sim| sim.kill_agent("a4"),
+        duration: Duration::ZERO,
+        repair: |sim| sim.start_agent("a4"),
     },
     Fault {
         name: "VM lost",
-        strike: |world| lose(world, &["a4"]),
-        lasts: Duration::ZERO,
-        mend: nothing,
+        inject: |sim| kill_vms(sim, &["a4"]),
+        duration: Duration::ZERO,
+        repair: no_repair,
     },
     Fault {
         name: "rack lost",
-        strike: |world| lose(world, &["a4", "a5", "a6"]),
-        lasts: Duration::ZERO,
-        mend: nothing,
+        inject: |sim| kill_vms(sim, &["a4", "a5", "a6"]),
+        duration: Duration::ZERO,
+        repair: no_repair,
     },
     Fault {
         name: "zone lost",
-        strike: |world| {
-            lose(world, &["a4", "a5", "a6"]);
-            world.kill_entry("e2");
+        inject: |sim| {
+            kill_vms(sim, &["a4", "a5", "a6"]);
+            sim.kill_entry("e2");
         },
-        lasts: Duration::ZERO,
-        mend: nothing,
+        duration: Duration::ZERO,
+        repair: no_repair,
     },
     Fault {
         name: "store out for an hour",
-        strike: |world| world.store_faults.is_down = true,
-        lasts: Duration::from_secs(3_600),
-        mend: |world| world.store_faults = Default::default(),
+        inject: |sim| sim.store_faults.is_down = true,
+        duration: Duration::from_secs(3_600),
+        repair: |sim| sim.store_faults = Default::default(),
     },
     Fault {
         name: "regions cut for an hour",
-        strike: |world| {
-            world.network.cuts.push(("norte".into(), "centro".into()));
-            world.network.cuts.push(("norte".into(), "lisboa".into()));
-            world.network.cuts.push(("centro".into(), "lisboa".into()));
+        inject: |sim| {
+            sim.network.partitions.push(("norte".into(), "centro".into()));
+            sim.network.partitions.push(("norte".into(), "lisboa".into()));
+            sim.network.partitions.push(("centro".into(), "lisboa".into()));
         },
-        lasts: Duration::from_secs(3_600),
-        mend: mend_network,
+        duration: Duration::from_secs(3_600),
+        repair: repair_network,
     },
 ];
 
@@ -94,57 +94,56 @@
     })
 }
 
-/// An entry of the first region that lives.
-fn entry(world: &World) -> &'static str {
-    if world.entries["e1"].machine.is_some() { "e1" } else { "e2" }
+/// A running entry of the first region.
+fn entry(sim: &Simulation) -> &'static str {
+    if sim.entries["e1"].machine.is_some() { "e1" } else { "e2" }
 }
 
-/// Time until a job that is submitted again and again with one key is accepted at an
-/// entry that lives.
-fn until_accepted(world: &mut World, key: &str) -> Duration {
-    let begin = world.now;
-    while world.now < begin + MOST {
-        let at = entry(world);
-        let caller = world.submit(at, &job(key, "sleep 100ms"));
-        world.run_until_answer(caller, SECOND * 10);
-        if world.answer(caller).is_some_and(|(status, _)| status == 201) {
+/// Time until a job that is submitted repeatedly with one key is accepted by a running entry.
+fn until_accepted(sim: &mut Simulation, key: &str) -> Duration {
+    let begin = sim.now;
+    while sim.now < begin + MAX_RECOVERY {
+        let at = entry(sim);
+        let caller = sim.submit(at, &job(key, "sleep 100ms"));
+        sim.run_until_answer(caller, SECOND * 10);
+        if sim.answer(caller).is_some_and(|(status, _)| status == 201) {
             break;
         }
-        world.run(SECOND / 10);
+        sim.run(SECOND / 10);
     }
-    world.now - begin
+    sim.now - begin
 }
 
-/// Time until a request made again and again is answered.
-fn until_served(world: &mut World, seed: u64) -> Duration {
-    let begin = world.now;
+/// Time until a repeated service request is answered.
+fn until_served(sim: &mut Simulation, seed: u64) -> Duration {
+    let begin = sim.now;
     for number in 0.. {
-        let at = entry(world);
-        let caller = world.request(at, &format!("after-{seed}-{number}"), true);
-        world.run_until_answer(caller, SECOND * 30);
-        let is_served = world.answers.get(&caller).is_some_and(|(_, answer)| answer.status == 200);
-        if is_served || world.now >= begin + MOST {
+        let at = entry(sim);
+        let caller = sim.request(at, &format!("after-{seed}-{number}"), true);
+        sim.run_until_answer(caller, SECOND * 30);
+        let is_served = sim.answers.get(&caller).is_some_and(|(_, answer)| answer.status == 200);
+        if is_served || sim.now >= begin + MAX_RECOVERY {
             break;
         }
-        world.run(SECOND / 10);
+        sim.run(SECOND / 10);
     }
-    world.now - begin
+    sim.now - begin
 }
 
-/// Time until the gang that ran when the fault struck is whole again: never lost, or running in
-/// a later attempt.
-fn until_whole(world: &mut World, killed_at: Duration) -> Duration {
-    while world.now < killed_at + MOST {
-        let running = world.agents.values().flat_map(|guarded| {
-            let tasks = guarded.worker.tasks.iter();
+/// Time until all tasks of the gang that ran before the fault are running: not lost at all, or
+/// started in a later attempt.
+fn until_complete(sim: &mut Simulation, fault_at: Duration) -> Duration {
+    while sim.now < fault_at + MAX_RECOVERY {
+        let running = sim.agents.values().flat_map(|host| {
+            let tasks = host.worker.tasks.iter();
             tasks.filter(|(id, task)| id.contains("long") && task.ended.is_none()).map(|(id, _)| id)
         });
         if running.count() == 2 {
             break;
         }
-        world.run(SECOND / 100);
+        sim.run(SECOND / 100);
     }
-    world.now - killed_at
+    sim.now - fault_at
 }
 
 fn row(name: &str, mut times: Vec<Duration>) {
@@ -153,79 +152,79 @@
     println!("{name:45} p50 {:6.2}s  worst {:6.2}s", p50.as_secs_f64(), worst.as_secs_f64());
 }
 
-fn strike(world: &mut World, fault: &Fault) {
-    (fault.strike)(world);
-    world.run(fault.lasts);
-    (fault.mend)(world);
+fn inject(sim: &mut Simulation, fault: &Fault) {
+    (fault.inject)(sim);
+    sim.run(fault.duration);
+    (fault.repair)(sim);
 }
 
-fn settled(seed: u64) -> World {
-    let mut world = World::three_regions(seed);
-    world.settle(chaos::RULES);
-    world.submit("e2", &job("long", "sleep 9000000ms"));
+fn bootstrapped(seed: u64) -> Simulation {
+    let mut sim = Simulation::three_regions(seed);
+    sim.bootstrap(chaos::RULES);
+    sim.submit("e2", &job("long", "sleep 9000000ms"));
     let offset = Duration::from_millis(3_000 + seed * 37);
-    world.run(offset);
-    world
+    sim.run(offset);
+    sim
 }
 
 fn main() {
     for fault in &FAULTS {
-        let (mut whole, mut accepted, mut served) = (Vec::new(), Vec::new(), Vec::new());
-        let seeds = if fault.lasts.is_zero() { SEEDS } else { 3 };
+        let (mut complete, mut accepted, mut served) = (Vec::new(), Vec::new(), Vec::new());
+        let seeds = if fault.duration.is_zero() { SEEDS } else { 3 };
         for seed in 1..=seeds {
-            let mut world = settled(seed);
-            strike(&mut world, fault);
-            let now = world.now;
-            whole.push(until_whole(&mut world, now));
-            let mut world = settled(seed);
-            strike(&mut world, fault);
-            accepted.push(until_accepted(&mut world, "after"));
-            let mut world = settled(seed);
-            strike(&mut world, fault);
-            served.push(until_served(&mut world, seed));
+            let mut sim = bootstrapped(seed);
+            inject(&mut sim, fault);
+            let now = sim.now;
+            complete.push(until_complete(&mut sim, now));
+            let mut sim = bootstrapped(seed);
+            inject(&mut sim, fault);
+            accepted.push(until_accepted(&mut sim, "after"));
+            let mut sim = bootstrapped(seed);
+            inject(&mut sim, fault);
+            served.push(until_served(&mut sim, seed));
         }
-        row(&format!("{}: running gang whole", fault.name), whole);
+        row(&format!("{}: running gang whole", fault.name), complete);
         row(&format!("{}: next job accepted", fault.name), accepted);
         row(&format!("{}: next request served", fault.name), served);
     }
     traffic();
 }
 
-/// Bytes between regions, in all and by cause.
+/// Measures the bytes that are sent, in total and between regions, by cause.
 fn traffic() {
-    let mut world = settled(1);
-    let mut measure = |what: &str, per: u64, act: &mut dyn FnMut(&mut World)| {
+    let mut sim = bootstrapped(1);
+    let mut measure = |cause: &str, per: u64, act: &mut dyn FnMut(&mut Simulation)| {
         let idle = {
-            let before = (world.bytes, world.far_bytes);
-            world.run(SECOND * 60);
-            (world.bytes - before.0, world.far_bytes - before.1)
+            let before = (sim.bytes, sim.cross_region_bytes);
+            sim.run(SECOND * 60);
+            (sim.bytes - before.0, sim.cross_region_bytes - before.1)
         };
-        let before = (world.bytes, world.far_bytes);
-        act(&mut world);
-        world.run(SECOND * 60);
-        let all = (world.bytes - before.0).saturating_sub(idle.0) / per;
-        let far = (world.far_bytes - before.1).saturating_sub(idle.1) / per;
-        println!("{what:45} all {all} bytes, between regions {far} bytes");
+        let before = (sim.bytes, sim.cross_region_bytes);
+        act(&mut sim);
+        sim.run(SECOND * 60);
+        let all = (sim.bytes - before.0).saturating_sub(idle.0) / per;
+        let cross_region = (sim.cross_region_bytes - before.1).saturating_sub(idle.1) / per;
+        println!("{cause:45} all {all} bytes, between regions {cross_region} bytes");
     };
-    measure("one request of 9 bytes", 100, &mut |world| {
+    measure("one request of 9 bytes", 100, &mut |sim| {
         for number in 0..100 {
-            world.request("e2", &format!("bytes-{number:03}"), false);
+            sim.request("e2", &format!("bytes-{number:03}"), false);
         }
     });
-    measure("one job of two tasks", 20, &mut |world| {
+    measure("one job of two tasks", 20, &mut |sim| {
         for number in 0..20 {
-            world.submit("e2", &job(&format!("bytes-{number}"), "sleep 100ms"));
+            sim.submit("e2", &job(&format!("bytes-{number}"), "sleep 100ms"));
         }
     });
-    measure("one rule change", 1, &mut |world| {
-        world.apply("e1", 1, chaos::RULES);
+    measure("one rule change", 1, &mut |sim| {
+        sim.apply("e1", 1, chaos::RULES);
     });
-    let before = (world.bytes, world.far_bytes);
-    world.run(SECOND * 60);
-    let (all, far) = (world.bytes - before.0, world.far_bytes - before.1);
+    let before = (sim.bytes, sim.cross_region_bytes);
+    sim.run(SECOND * 60);
+    let (all, cross_region) = (sim.bytes - before.0, sim.cross_region_bytes - before.1);
     println!(
-        "{:45} all {all} bytes, between regions {far} bytes",
+        "{:45} all {all} bytes, between regions {cross_region} bytes",
         "an idle minute, 4 entries and 12 agents"
     );
-    println!("store calls so far: {:?}", world.store.counts);
+    println!("store calls so far: {:?}", sim.store.counts);
 }
--- a/crates/proofs/examples/recovery_jobs.rs
+++ b/crates/proofs/examples/recovery_jobs.rs
@@ -1,4 +1,5 @@
-//! How long placement stops when a planner is lost: killed, frozen, or cut off from the store.
+//! Measures how long no tasks are placed when the planner is lost: killed, paused, or cut off from
+//! the store.
 
 use std::time::Duration;
 
@@ -9,16 +10,16 @@
     sites,
 };
 
-/// When the planner is lost, from the first arrival.
+/// When the planner is lost, from the start of the load.
 const LOST_AT: Duration = Duration::from_secs(8);
 const SEEDS: u64 = 50;
 
-/// What happens to the entry that plans.
+/// Fault of the entry that plans.
 type Fault = fn(&mut Simulation, usize);
 
-/// Time until a planner knows what runs where and starts tasks again; zero when the first one
-/// never stopped.
-fn gap(seed: u64, lose: Fault) -> Duration {
+/// Time until a planner has collected what runs where and starts tasks again; zero when the first
+/// planner never stopped.
+fn gap(seed: u64, inject: Fault) -> Duration {
     let arrivals = load::draw(&sites::ATLANTICA, seed, Duration::from_secs(16), 1.0);
     let mut sim = Simulation::new(Options {
         site: &sites::ATLANTICA,
@@ -28,11 +29,11 @@
         speeds: 1.0,
     });
     sim.run_until(LOST_AT);
-    let planner = sim.planner_entry().expect("somebody plans");
-    lose(&mut sim, planner);
+    let planner = sim.planner_entry().expect("an entry plans");
+    inject(&mut sim, planner);
     sim.run_until(LOST_AT + Duration::from_secs(12));
-    let ready = |line: &&String| line.contains("knows what earlier orders");
-    let times = sim.log.iter().filter(ready).filter_map(|line| line.split(' ').next());
+    let is_ready = |line: &&String| line.contains("knows what earlier orders");
+    let times = sim.log.iter().filter(is_ready).filter_map(|line| line.split(' ').next());
     let mut times = times.filter_map(|time| time.parse::<f64>().ok());
     let after = times.find(|time| *time > LOST_AT.as_secs_f64());
     after.map_or(Duration::ZERO, |time| Duration::from_secs_f64(time - LOST_AT.as_secs_f64()))
@@ -44,10 +45,10 @@
         ("frozen for 4 s", |sim, planner| sim.pause_entry(planner, Duration::from_secs(4))),
         ("cut off from the store", |sim, planner| sim.set_store_reachable(planner, false)),
     ];
-    for (name, lose) in faults {
-        let mut gaps: Vec<Duration> = (1..=SEEDS).map(|seed| gap(seed, lose)).collect();
+    for (name, inject) in faults {
+        let mut gaps: Vec<Duration> = (1..=SEEDS).map(|seed| gap(seed, inject)).collect();
         gaps.sort_unstable();
-        let (half, worst) = (gaps[gaps.len() / 2], gaps[gaps.len() - 1]);
-        println!("{name}: p50 {} ms, worst {} ms", half.as_millis(), worst.as_millis());
+        let (median, worst) = (gaps[gaps.len() / 2], gaps[gaps.len() - 1]);
+        println!("{name}: p50 {} ms, worst {} ms", median.as_millis(), worst.as_millis());
     }
 }
--- a/crates/proofs/src/lib.rs
+++ b/crates/proofs/src/lib.rs
@@ -1,12 +1,12 @@
-//! The state machines of entries and agents together in virtual time, over a fake network, a
-//! fake store and fake workers, with seeded faults. Development only; never shipped.
+//! Simulation of entries and agents in virtual time: their real state machines with a fake network,
+//! a fake store and fake workers, and faults drawn from seeds. For development only; never shipped.
 //!
-//! [`world`] runs the machines, [`check`] holds what must always be true, [`chaos`] makes
-//! seeded runs of load and faults.
+//! [`simulation`] runs the state machines, [`check`] asserts the invariants, and [`chaos`] runs
+//! randomised load and faults. [`jobs`] simulates the job system in the same way.
 
 pub mod chaos;
 pub mod check;
 pub mod jobs;
+pub mod simulation;
 pub mod store;
 pub mod worker;
-pub mod world;
--- a/crates/proofs/src/world/callers.rs
+++ b/crates/proofs/src/simulation/callers.rs
@@ -1,25 +1,25 @@
-//! Callers and operators, and what they are answered.
+//! Requests of callers and operators, and the answers to them.
 
 use sapphire_entry as entry;
 use sapphire_entry::{answer, api};
 use sapphire_wire::{Header, id};
 
-use super::{World, in_short};
+use super::{Simulation, summary};
 
-impl World {
-    /// Makes an HTTP call at an entry; the answer will be in [`World::answers`].
+impl Simulation {
+    /// Makes an HTTP request to an entry; the answer will be in [`Simulation::answers`].
     pub fn http(&mut self, at: &str, request: api::Request) -> u64 {
         let caller = self.next_caller;
         self.next_caller += 1;
         let generation = self.entries.get(at).map_or(0, |process| process.generation);
-        if self.entries.get(at).is_some_and(|process| process.runs(self.now)) {
+        if self.entries.get(at).is_some_and(|process| process.is_running(self.now)) {
             self.callers.insert(caller, (at.to_owned(), generation));
         }
         self.entry_event(at, entry::event::Event::Http(caller, request));
         caller
     }
 
-    /// Calls a path without a body.
+    /// Makes a request without a body.
     pub fn call(&mut self, at: &str, method: &str, path: &str) -> u64 {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let request = api::Request {
@@ -31,7 +31,7 @@
         self.http(at, request)
     }
 
-    /// Submits a job given as JSON.
+    /// Submits a job, given as JSON.
     pub fn submit(&mut self, at: &str, job: &serde_json::Value) -> u64 {
         let request = api::Request {
             method: "POST".into(),
@@ -39,11 +39,11 @@
             body: job.to_string().into(),
             ..api::Request::default()
         };
-        self.check.submitted(job);
+        self.check.record_submission(job);
         self.http(at, request)
     }
 
-    /// Sends a request to the service; the body names it.
+    /// Sends a service request; its body identifies it.
     pub fn request(&mut self, at: &str, body: &str, idempotent: bool) -> u64 {
         let header = |name: &str, value: &str| Header { name: name.into(), value: value.into() };
         let request = api::Request {
@@ -54,11 +54,11 @@
             ..api::Request::default()
         };
         let caller = self.http(at, request);
-        self.check.requested(caller, body, idempotent);
+        self.check.record_request(caller, body, idempotent);
         caller
     }
 
-    /// Applies rules at an entry.
+    /// Applies a rule file at an entry.
     pub fn apply(&mut self, at: &str, expected: u64, text: &str) -> u64 {
         let header = |name: &str, value: String| Header { name: name.into(), value };
         let request = api::Request {
@@ -71,30 +71,30 @@
         self.http(at, request)
     }
 
-    /// Answer's status and JSON, once it has come.
+    /// Status and JSON body of the answer, once it has arrived.
     pub fn answer(&self, caller: u64) -> Option<(u16, serde_json::Value)> {
         let (_, answer) = self.answers.get(&caller)?;
         let value = serde_json::from_slice(&answer.body).unwrap_or_default();
         Some((answer.status, value))
     }
 
-    pub(super) fn answered(&mut self, caller: u64, answer: answer::Answer) {
-        self.tell(&format!("caller {caller}: {} {}", answer.status, in_short(&answer.body)));
-        self.check.answered(caller, &answer, &self.agents);
+    pub(super) fn record_answer(&mut self, caller: u64, answer: answer::Answer) {
+        self.record(&format!("caller {caller}: {} {}", answer.status, summary(&answer.body)));
+        self.check.check_answer(caller, &answer, &self.agents);
         let before = self.answers.insert(caller, (self.now, answer));
         assert!(before.is_none(), "caller {caller} was answered twice");
     }
 
-    /// Callers whose entry is still the process that they called.
+    /// Callers without an answer whose entry is still the process that they called.
     pub fn waiting_callers(&self) -> Vec<u64> {
-        let lives = |(name, generation): &(String, id::Generation)| {
+        let is_alive = |(name, generation): &(String, id::Generation)| {
             self.entries
                 .get(name)
                 .is_some_and(|p| p.generation == *generation && p.machine.is_some())
         };
         self.callers
             .iter()
-            .filter(|(caller, at)| !self.answers.contains_key(caller) && lives(at))
+            .filter(|(caller, at)| !self.answers.contains_key(caller) && is_alive(at))
             .map(|(caller, _)| *caller)
             .collect()
     }
--- a/crates/proofs/src/world/mod.rs
+++ b/crates/proofs/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Entries, agents, workers, minions and a store in virtual time.
+//! Simulates entries, agents, workers, minions and a store in virtual time.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -20,28 +20,28 @@
 mod steps;
 mod store_calls;
 
-/// Step of virtual time.
+/// Length of one step of virtual time.
 pub const STEP: Duration = Duration::from_millis(10);
-/// Time at which every world begins.
-pub const BEGIN: Duration = Duration::from_secs(1_000_000);
-/// How long a call to the store waits for its answer.
+/// Virtual time at which every simulation begins.
+pub const START: Duration = Duration::from_secs(1_000_000);
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the store holds a watch.
-const WATCH_HOLD: Duration = Duration::from_secs(30);
+/// Time after which the store ends a watch without changes.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 const TICK: Duration = Duration::from_millis(50);
 
-/// Timing of all machines, as in the example settings.
+/// Heartbeat interval of all processes, as in the example settings.
 pub const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Silence after which a process is suspected.
-pub const SILENCE: Duration = Duration::from_secs(2);
-/// Lease of gangs and planners.
+/// Time without a message after which a process is suspected to be down.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Lease of gangs and of the planner.
 pub const LEASE: Duration = Duration::from_secs(3);
-const HOLD: Duration = Duration::from_secs(3);
+const HOLD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A process's place in the world.
+/// Location of a process.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// Its name.
+pub struct Location {
+    /// Name of the process, which is also its address.
     pub name: String,
     /// Region.
     pub region: String,
@@ -51,24 +51,24 @@
     pub rack: String,
 }
 
-/// One process: its machine, while it lives.
+/// Process of an entry or agent.
 pub struct Process<M> {
-    /// Where it is.
-    pub place: Place,
-    /// The machine; none while the process is down.
+    /// Its location.
+    pub location: Location,
+    /// Its state machine; `None` while the process is down.
     pub machine: Option<M>,
-    /// Number of its start.
+    /// Generation: a number that grows with each start.
     pub generation: id::Generation,
-    /// It does not run until then, but its messages are kept for it.
+    /// Time until which it is paused; its messages wait for it meanwhile.
     pub paused_until: Duration,
     inbox: VecDeque<envelope::Envelope>,
     next_tick: Duration,
 }
 
 impl<M> Process<M> {
-    fn new(place: Place) -> Self {
+    fn new(location: Location) -> Self {
         Process {
-            place,
+            location,
             machine: None,
             generation: 0,
             paused_until: Duration::ZERO,
@@ -77,44 +77,44 @@
         }
     }
 
-    fn runs(&self, now: Duration) -> bool {
+    fn is_running(&self, now: Duration) -> bool {
         self.machine.is_some() && now >= self.paused_until
     }
 }
 
-/// An agent's process with the worker and minion it guards.
-pub struct Guarded {
-    /// The agent.
+/// VM with an agent process, its worker and its minion.
+pub struct Host {
+    /// Agent process.
     pub process: Process<agent::machine::Machine>,
-    /// The worker.
+    /// Worker.
     pub worker: worker::Worker,
-    /// Requests that the minion answers later.
+    /// Responses of the minion to requests in progress, with the time when each arrives.
     pending: Vec<(Duration, agent::effect::Response)>,
-    /// Events of the worker and minion that came while the agent was frozen.
+    /// Events of the worker and the minion that occurred while the agent was paused or down.
     backlog: Vec<agent::event::Event>,
-    /// How often each request was served, by its body.
+    /// How often the minion served each request, by the request's body.
     pub served: BTreeMap<String, u32>,
 }
 
-/// How the network treats messages.
+/// Faults of the network.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// Messages lost, in a thousand.
+    /// Messages that are lost, per thousand.
     pub lost: u32,
-    /// Messages that arrive twice, in a thousand.
-    pub doubled: u32,
-    /// Longest extra delay; also reorders.
+    /// Messages that are duplicated, per thousand.
+    pub duplicated: u32,
+    /// Maximum extra delay, drawn for each copy of a message, which also reorders messages.
     pub jitter: Duration,
-    /// Pairs of places that can't reach each other: names, racks, zones or regions.
-    pub cuts: Vec<(String, String)>,
+    /// Pairs of locations that can't reach each other: names of processes, racks, zones or regions.
+    pub partitions: Vec<(String, String)>,
 }
 
 impl Network {
-    fn cuts(&self, from: &Place, to: &Place) -> bool {
-        let is_at = |place: &Place, name: &String| {
-            [&place.name, &place.rack, &place.zone, &place.region].contains(&name)
+    fn separates(&self, from: &Location, to: &Location) -> bool {
+        let is_at = |location: &Location, name: &String| {
+            [&location.name, &location.rack, &location.zone, &location.region].contains(&name)
         };
-        self.cuts.iter().any(|(left, right)| {
+        self.partitions.iter().any(|(left, right)| {
             (is_at(from, left) && is_at(to, right)) || (is_at(from, right) && is_at(to, left))
         })
     }
@@ -123,23 +123,23 @@
 /// Faults of the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFaults {
-    /// It does not answer and does nothing.
+    /// Whether the store carries out no calls and sends no replies.
     pub is_down: bool,
-    /// Entries that can't reach it.
+    /// Entries that can't reach the store.
     pub cut_off: Vec<String>,
-    /// Calls that take effect while their answer is lost, in a thousand.
+    /// Calls that take effect but whose reply is lost, per thousand.
     pub lost_answers: u32,
     /// Extra delay of each call.
     pub slow: Duration,
 }
 
-struct Flight {
+struct InFlight {
     at: Duration,
     to: String,
     envelope: envelope::Envelope,
 }
 
-struct StoreFlight {
+struct StoreCall {
     at: Duration,
     entry: String,
     generation: id::Generation,
@@ -148,51 +148,51 @@
 }
 
 enum StoreStage {
-    Arrives(Call),
-    Watches(Call, Duration),
-    Answers(Reply),
+    Arriving(Call),
+    Watching(Call, Duration),
+    Answering(Reply),
 }
 
-/// The world.
-pub struct World {
-    /// Time.
+/// Simulation.
+pub struct Simulation {
+    /// Current virtual time.
     pub now: Duration,
-    /// Random generator of faults and delays.
+    /// Random generator for faults and delays.
     pub rng: Pcg64,
     /// Entries by name.
     pub entries: BTreeMap<String, Process<entry::machine::Machine>>,
     /// Agents by name.
-    pub agents: BTreeMap<String, Guarded>,
-    /// Network.
+    pub agents: BTreeMap<String, Host>,
+    /// Faults of the network.
     pub network: Network,
-    /// Store.
+    /// Fake store.
     pub store: store::Store,
     /// Faults of the store.
     pub store_faults: StoreFaults,
-    /// Answers that callers got.
+    /// Answers to callers, with the time of each.
     pub answers: BTreeMap<u64, (Duration, answer::Answer)>,
-    /// What must always hold.
+    /// Observer that asserts the invariants.
     pub check: check::Check,
-    /// What happened, for golden files; empty unless recording.
-    pub story: Vec<String>,
-    /// Whether to write the story.
+    /// Trace of what happened, for snapshots; empty unless `is_recording`.
+    pub trace: Vec<String>,
+    /// Whether to record the trace.
     pub is_recording: bool,
     /// Bytes sent between regions.
-    pub far_bytes: u64,
-    /// Bytes sent in all.
+    pub cross_region_bytes: u64,
+    /// Bytes sent in total.
     pub bytes: u64,
-    flights: Vec<Flight>,
-    store_flights: Vec<StoreFlight>,
+    in_transit: Vec<InFlight>,
+    store_calls: Vec<StoreCall>,
     callers: BTreeMap<u64, (String, id::Generation)>,
     next_caller: u64,
     zones: BTreeSet<String>,
 }
 
-impl World {
-    /// An empty world.
+impl Simulation {
+    /// Simulation without processes.
     pub fn new(seed: u64) -> Self {
-        World {
-            now: BEGIN,
+        Simulation {
+            now: START,
             rng: Pcg64::seed_from_u64(seed),
             entries: BTreeMap::new(),
             agents: BTreeMap::new(),
@@ -201,37 +201,37 @@
             store_faults: StoreFaults::default(),
             answers: BTreeMap::new(),
             check: check::Check::default(),
-            story: Vec::new(),
+            trace: Vec::new(),
             is_recording: false,
-            far_bytes: 0,
+            cross_region_bytes: 0,
             bytes: 0,
-            flights: Vec::new(),
-            store_flights: Vec::new(),
+            in_transit: Vec::new(),
+            store_calls: Vec::new(),
             callers: BTreeMap::new(),
             next_caller: 1,
             zones: BTreeSet::new(),
         }
     }
 
-    /// Two entries and `racks` racks of three workers, in two zones of one region.
+    /// One region with two zones, two entries, and `racks` racks of three workers.
     pub fn region(seed: u64, racks: usize) -> Self {
-        let mut world = World::new(seed);
-        world.add_entry("e1", "norte", "norte-a");
-        world.add_entry("e2", "norte", "norte-b");
+        let mut sim = Simulation::new(seed);
+        sim.add_entry("e1", "norte", "norte-a");
+        sim.add_entry("e2", "norte", "norte-b");
         for rack in 0..racks {
             let zone = if rack % 2 == 0 { "norte-a" } else { "norte-b" };
             for index in 0..3 {
                 let name = format!("a{}", rack * 3 + index + 1);
-                world.add_agent(&name, "norte", zone, &format!("r{}", rack + 1));
+                sim.add_agent(&name, "norte", zone, &format!("r{}", rack + 1));
             }
         }
-        world
+        sim
     }
 
-    /// Three regions of one or two zones with an entry in each zone and a rack of three workers;
-    /// the first region has two zones.
+    /// Three regions, the first with two zones and the others with one; each zone has an entry and
+    /// a rack of three workers.
     pub fn three_regions(seed: u64) -> Self {
-        let mut world = World::new(seed);
+        let mut sim = Simulation::new(seed);
         let zones = [
             ("norte", "norte-a"),
             ("norte", "norte-b"),
@@ -239,34 +239,34 @@
             ("lisboa", "lisboa-a"),
         ];
         for (index, (region, zone)) in zones.iter().enumerate() {
-            world.add_entry(&format!("e{}", index + 1), region, zone);
+            sim.add_entry(&format!("e{}", index + 1), region, zone);
             for worker in 1..=3 {
                 let name = format!("a{}", index * 3 + worker);
-                world.add_agent(&name, region, zone, &format!("r{}", index + 1));
+                sim.add_agent(&name, region, zone, &format!("r{}", index + 1));
             }
         }
-        world
+        sim
     }
 
-    /// Adds a line to the story.
-    pub fn tell(&mut self, line: &str) {
+    /// Adds a line to the trace.
+    pub fn record(&mut self, line: &str) {
         if self.is_recording {
-            let since = self.now.saturating_sub(BEGIN);
-            self.story.push(format!("{:8.2}s {line}", since.as_secs_f64()));
+            let since = self.now.saturating_sub(START);
+            self.trace.push(format!("{:8.2}s {line}", since.as_secs_f64()));
         }
     }
 
-    /// Entry that plans a region, if one is known to.
+    /// Entry that currently plans a region; with several planners, the first by name.
     pub fn planner(&self, region: &str) -> Option<String> {
         let plans = |process: &&Process<entry::machine::Machine>| {
-            process.place.region == region
+            process.location.region == region
                 && process.machine.as_ref().is_some_and(|machine| machine.planner().is_some())
         };
-        self.entries.values().find(plans).map(|process| process.place.name.clone())
+        self.entries.values().find(plans).map(|process| process.location.name.clone())
     }
 
-    /// Runs until every worker has announced itself and one entry plans, then applies rules.
-    pub fn settle(&mut self, rules: &str) {
+    /// Runs until every worker has announced itself and an entry plans, then applies the rules.
+    pub fn bootstrap(&mut self, rules: &str) {
         self.run(Duration::from_secs(5));
         let caller = self.apply("e1", 0, rules);
         self.run(Duration::from_secs(2));
@@ -274,7 +274,7 @@
         assert_eq!(answer.map(|(status, _)| status), Some(200), "the rules were not accepted");
     }
 
-    /// Runs for a while.
+    /// Runs for a given time.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -283,9 +283,10 @@
         }
     }
 
-    /// Runs until a caller has its answer, at most for a while; returns whether it came.
-    pub fn run_until_answer(&mut self, caller: u64, most: Duration) -> bool {
-        let until = self.now + most;
+    /// Runs until a caller has its answer, or until `timeout`; returns whether the answer has
+    /// arrived.
+    pub fn run_until_answer(&mut self, caller: u64, timeout: Duration) -> bool {
+        let until = self.now + timeout;
         while self.now < until && !self.answers.contains_key(&caller) {
             self.now += STEP;
             self.step();
@@ -293,33 +294,33 @@
         self.answers.contains_key(&caller)
     }
 
-    fn place(&self, name: &str) -> Option<Place> {
-        let entry = self.entries.get(name).map(|process| process.place.clone());
-        entry.or_else(|| self.agents.get(name).map(|guarded| guarded.process.place.clone()))
+    fn location(&self, name: &str) -> Option<Location> {
+        let entry = self.entries.get(name).map(|process| process.location.clone());
+        entry.or_else(|| self.agents.get(name).map(|host| host.process.location.clone()))
     }
 
-    /// Sends a message, with the network's delay and faults.
+    /// Sends a message with the delay and the faults of the network.
     fn send(&mut self, from: &str, to: &str, envelope: envelope::Envelope) {
-        let (Some(source), Some(target)) = (self.place(from), self.place(to)) else { return };
-        self.check.sent(&envelope);
-        let is_far = source.region != target.region;
+        let (Some(source), Some(target)) = (self.location(from), self.location(to)) else { return };
+        self.check.record_message(&envelope);
+        let is_cross_region = source.region != target.region;
         let bytes = envelope.clone().encode().len() as u64;
         self.bytes += bytes;
-        self.far_bytes += if is_far { bytes } else { 0 };
-        if self.network.cuts(&source, &target) || self.chance(self.network.lost) {
+        self.cross_region_bytes += if is_cross_region { bytes } else { 0 };
+        if self.network.separates(&source, &target) || self.chance(self.network.lost) {
             return;
         }
-        let base = Duration::from_millis(if is_far { 20 } else { 1 });
-        let copies = if self.chance(self.network.doubled) { 2 } else { 1 };
+        let base = Duration::from_millis(if is_cross_region { 20 } else { 1 });
+        let copies = if self.chance(self.network.duplicated) { 2 } else { 1 };
         for _ in 0..copies {
             let jitter = self.network.jitter.mul_f64(self.rng.random::<f64>());
             let at = self.now + base + jitter;
             let to = to.to_owned();
-            self.flights.push(Flight { at, to, envelope: envelope.clone() });
+            self.in_transit.push(InFlight { at, to, envelope: envelope.clone() });
         }
     }
 
-    /// Whether something with so many chances in a thousand happens.
+    /// Draws whether an event happens whose probability is given per thousand.
     pub fn chance(&mut self, in_a_thousand: u32) -> bool {
         in_a_thousand > 0 && self.rng.random_range(0..1_000) < in_a_thousand
     }
@@ -329,8 +330,9 @@
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX).max(last + 1)
 }
 
-/// An answer's body; of JSON only what tells the caller what became of its call.
-fn in_short(body: &[u8]) -> String {
+/// Body of an answer for the trace; of a JSON body, only the fields that tell the outcome of the
+/// call.
+fn summary(body: &[u8]) -> String {
     let kept = ["account", "id", "state", "reason", "revision"];
     let Ok(value) = serde_json::from_slice::<serde_json::Value>(body) else {
         return String::from_utf8_lossy(body).trim().to_owned();
@@ -343,17 +345,17 @@
     if process.machine.is_none() {
         process.inbox.clear();
     }
-    if !process.runs(now) {
+    if !process.is_running(now) {
         return Vec::new();
     }
     process.inbox.drain(..).collect()
 }
 
-/// A recording world that fails prints what led to it.
-impl Drop for World {
+/// Prints the trace when a test fails.
+impl Drop for Simulation {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.story.iter().for_each(|line| eprintln!("{line}"));
+            self.trace.iter().for_each(|line| eprintln!("{line}"));
         }
     }
 }
--- a/crates/proofs/src/store.rs
+++ b/crates/proofs/src/store.rs
@@ -1,4 +1,4 @@
-//! Fake key-value service in virtual time.
+//! Fake key-value store in virtual time.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,33 +14,34 @@
     lease: Option<Lease>,
 }
 
-/// The service. Time is given with each call.
+/// Store. The caller passes the current time with each call.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: Revision,
     entries: BTreeMap<String, Entry>,
     leases: BTreeMap<Lease, (Duration, Duration)>,
-    /// Changes in order with their times, for watches on prefixes.
+    /// Changes in order, each with its time, for watches of prefixes.
     history: VecDeque<(Duration, Item)>,
-    /// How long changes are kept; none for ever.
+    /// Time for which changes are kept; `None` for ever.
     history_age: Option<Duration>,
-    /// Removals are changes too once somebody watches a prefix.
+    /// Whether a key's removal with its lease has a revision of its own; set by the first watch of
+    /// a prefix.
     counts_removals: bool,
-    /// Revisions up to which the history is gone.
+    /// Latest revision whose change has been dropped from the history.
     compacted: Revision,
-    /// Calls by kind.
+    /// Number of calls by kind.
     pub counts: BTreeMap<&'static str, u64>,
 }
 
 impl Store {
-    /// One that keeps its history for a while only.
+    /// Store that keeps its history for a limited time.
     pub fn with_history(age: Duration) -> Self {
         Store { history_age: Some(age), ..Store::default() }
     }
 
-    /// Carries out a call. A watch returns none until its key has a later revision.
+    /// Carries out a call. A watch returns `None` until there is a later change.
     pub fn call(&mut self, now: Duration, call: &Call) -> Option<Reply> {
-        self.lapse(now);
+        self.expire_leases(now);
         self.drop_history(now);
         Some(match call {
             Call::Get { key } => {
@@ -84,8 +85,8 @@
             Call::Keep { lease } => {
                 self.count("lease");
                 match self.leases.get_mut(lease) {
-                    Some((until, ttl)) => {
-                        *until = now + *ttl;
+                    Some((expires_at, ttl)) => {
+                        *expires_at = now + *ttl;
                         Reply::Leased(*lease)
                     }
                     None => Reply::Lapsed,
@@ -162,9 +163,9 @@
         puts: &[Put],
         removes: &[String],
     ) -> Reply {
-        let holds =
+        let is_met =
             |condition: &Condition| self.value(&condition.key).revision == condition.revision;
-        if !conditions.iter().all(holds) {
+        if !conditions.iter().all(is_met) {
             let items = conditions.iter().map(|condition| self.item(&condition.key));
             return Reply::Refused(items.collect());
         }
@@ -197,16 +198,20 @@
         }
     }
 
-    /// Forgets the history of changes.
+    /// Drops the history of changes.
     pub fn compact(&mut self) {
         self.compacted = self.revision;
         self.history.clear();
     }
 
-    fn lapse(&mut self, now: Duration) {
-        let lapsed: Vec<Lease> =
-            self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|(id, _)| *id).collect();
-        for lease in lapsed {
+    fn expire_leases(&mut self, now: Duration) {
+        let expired: Vec<Lease> = self
+            .leases
+            .iter()
+            .filter(|(_, (expires_at, _))| *expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for lease in expired {
             self.drop_lease(now, lease);
         }
     }
--- a/crates/proofs/src/worker.rs
+++ b/crates/proofs/src/worker.rs
@@ -1,46 +1,47 @@
-//! Fake worker and minion in virtual time. They outlive their agent's process.
+//! Fake worker in virtual time. Its tasks outlive the agent process.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use sapphire_agent::{effect, event};
 use sapphire_wire::id;
 
-/// One gang's tasks on a worker.
+/// Tasks of one attempt on a worker.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Accelerators of all its tasks here.
+    /// Accelerators of all these tasks together.
     pub accelerators: u32,
-    /// When it started.
+    /// When the tasks started.
     pub started: Duration,
-    /// When its lease lapses.
-    pub until: Duration,
-    /// When its program ends, and with which code.
-    pub ends: Option<(Duration, i32)>,
-    /// When it ended, if it has.
+    /// When their lease expires.
+    pub lease_until: Duration,
+    /// When their program exits by itself and with which code; `None` if it runs until stopped.
+    pub scheduled_exit: Option<(Duration, i32)>,
+    /// When the tasks ended, if they have.
     pub ended: Option<Duration>,
-    /// It ended by its own program.
+    /// Whether they ended because their program exited.
     pub has_exited: bool,
 }
 
-/// A worker.
+/// Worker.
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// Tasks by attempt, ended ones included.
+    /// Tasks by attempt, including those that have ended.
     pub tasks: BTreeMap<id::Attempt, Task>,
-    /// It ignores checkpoint and stop requests of tasks until their lease lapses.
-    pub is_deaf: bool,
-    /// Every task that it starts fails at once.
-    pub is_broken: bool,
+    /// Whether it ignores requests to checkpoint or stop tasks; they end when their lease expires.
+    pub ignores_stops: bool,
+    /// Whether every task that it starts fails within milliseconds.
+    pub fails_tasks: bool,
 }
 
 impl Worker {
-    /// Starts tasks; what a real worker refuses as a repeat is a fault of ours here.
+    /// Starts tasks. Panics when the attempt was started before: a real worker would refuse that,
+    /// but an agent must not order it.
     pub fn run(&mut self, now: Duration, run: &effect::Run) {
         let task = Task {
             accelerators: run.accelerators,
             started: now,
-            until: now + run.lease,
-            ends: program(if self.is_broken { "exit 9" } else { &run.command })
+            lease_until: now + run.lease,
+            scheduled_exit: parse_command(if self.fails_tasks { "exit 9" } else { &run.command })
                 .map(|(time, code)| (now + time, code)),
             ended: None,
             has_exited: false,
@@ -49,22 +50,22 @@
         assert!(before.is_none(), "attempt {} was started twice on one worker", run.attempt);
     }
 
-    /// Extends a lease; returns false when nothing runs.
+    /// Extends the lease of an attempt's tasks; returns false when none are running.
     pub fn renew(&mut self, now: Duration, attempt: &str, lease: Duration) -> bool {
         match self.tasks.get_mut(attempt) {
             Some(task) if task.ended.is_none() => {
-                task.until = now + lease;
+                task.lease_until = now + lease;
                 true
             }
             _ => false,
         }
     }
 
-    /// Stops tasks; returns whether they have stopped.
+    /// Stops an attempt's tasks; returns whether they have stopped.
     pub fn stop(&mut self, now: Duration, attempt: &str) -> bool {
-        let is_deaf = self.is_deaf;
+        let ignores_stops = self.ignores_stops;
         match self.tasks.get_mut(attempt) {
-            Some(task) if task.ended.is_none() && is_deaf => false,
+            Some(task) if task.ended.is_none() && ignores_stops => false,
             Some(task) => {
                 task.ended.get_or_insert(now);
                 true
@@ -73,31 +74,31 @@
         }
     }
 
-    /// Stops everything, as after a power cut or at the agent's word.
+    /// Stops all tasks, as when the VM is lost or the agent resets the worker.
     pub fn stop_all(&mut self, now: Duration) {
         for task in self.tasks.values_mut() {
             task.ended.get_or_insert(now);
         }
     }
 
-    /// Ends programs that are done and tasks whose lease has lapsed; returns what ended.
-    pub fn step(&mut self, now: Duration) -> Vec<event::TaskEnd> {
-        let mut ends = Vec::new();
+    /// Ends the tasks whose program exits or whose lease has expired, and returns their ends.
+    pub fn advance(&mut self, now: Duration) -> Vec<event::TaskEnd> {
+        let mut task_ends = Vec::new();
         for (attempt, task) in &mut self.tasks {
             if task.ended.is_some() {
                 continue;
             }
-            let exit = task.ends.filter(|(at, _)| *at <= now).map(|(_, code)| code);
-            if exit.is_none() && task.until > now {
+            let exit = task.scheduled_exit.filter(|(at, _)| *at <= now).map(|(_, code)| code);
+            if exit.is_none() && task.lease_until > now {
                 continue;
             }
             task.ended = Some(now);
             task.has_exited = exit.is_some();
             let reason = if exit.is_some() { "its program ended" } else { "its lease lapsed" };
             let (attempt, reason) = (attempt.clone(), reason.to_owned());
-            ends.push(event::TaskEnd { attempt, exit_code: exit, reason });
+            task_ends.push(event::TaskEnd { attempt, exit_code: exit, reason });
         }
-        ends
+        task_ends
     }
 
     /// Accelerators in use.
@@ -107,8 +108,9 @@
     }
 }
 
-/// How long a program runs and its exit code: `sleep 200ms`, `exit 3`; none for `run`.
-fn program(command: &str) -> Option<(Duration, i32)> {
+/// Run time and exit code of a command such as `sleep 200ms` or `exit 3`; `None` for `run`, which
+/// runs until it is stopped.
+fn parse_command(command: &str) -> Option<(Duration, i32)> {
     match command.split_once(' ') {
         Some(("sleep", time)) => {
             let millis = time.strip_suffix("ms").and_then(|number| number.parse().ok());
--- a/crates/proofs/tests/late/mod.rs
+++ b/crates/proofs/tests/late/mod.rs
@@ -1,5 +1,5 @@
-//! Orders that get no answer and are carried out seconds later: more than half of all starts and
-//! stops, for the whole of a run.
+//! Orders that get no reply and are carried out seconds later: more than half of all starts and
+//! stops, while jobs run.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
@@ -13,39 +13,40 @@
 use crate::jobs::{secs, verify};
 
 /// Share of the orders that are carried out late.
-const SHARE: f64 = 0.6;
-/// Jobs come until then, in seconds.
-const LENGTH: f64 = 13.0;
-/// Until then orders are late, in seconds.
-const LATE: f64 = 40.0;
-/// Longest time after which one is carried out, in seconds.
-const LATEST: f64 = 12.0;
-/// Longest run, in seconds: time for what was accepted to come to its end.
+const LATE_SHARE: f64 = 0.6;
+/// Time until which jobs are submitted, in seconds.
+const LOAD_END: f64 = 13.0;
+/// Time until which orders are late, in seconds.
+const LATE_UNTIL: f64 = 40.0;
+/// Longest time after which a late order is carried out, in seconds.
+const MAX_DELAY: f64 = 12.0;
+/// Longest run, in seconds: by then every accepted job must have ended.
 const END: f64 = 85.0;
 
-/// Draws a day some of whose steps allow few of their tasks on one worker.
+/// Draws the jobs of one run; some steps limit the number of their tasks on one worker.
 fn draw(seed: u64) -> Vec<Arrival> {
-    let mut arrivals = load::draw(&sites::ATLANTICA, seed, secs(LENGTH), 1.0);
+    let mut arrivals = load::draw(&sites::ATLANTICA, seed, secs(LOAD_END), 1.0);
     let mut rng = Pcg32::seed_from_u64(seed ^ 0x5eed);
     for arrival in &mut arrivals {
         for step in &mut arrival.job.steps {
-            let most = rng.random_range(1..=4);
-            // A gang wider than this could find no place at all.
-            if step.tasks > 1 && (!step.is_gang || step.tasks <= 4) && most < 4 {
-                step.per_worker = most;
+            let max = rng.random_range(1..=4);
+            // With such a limit, there might be no placement for a wider gang.
+            if step.tasks > 1 && (!step.is_gang || step.tasks <= 4) && max < 4 {
+                step.per_worker = max;
             }
         }
     }
     arrivals
 }
 
-/// Plays days in which orders are late while `faults` happen, and says which broke a promise.
-fn play(
+/// Simulates one run for each seed, with late orders and `faults`. Panics with the seeds in which
+/// an invariant was violated and with the log of the first.
+fn assert_invariants(
     seeds: impl Iterator<Item = u64> + Clone,
     arrivals: fn(u64) -> Vec<Arrival>,
     faults: fn(&mut Simulation, u64),
 ) {
-    let mut stories = Vec::new();
+    let mut failures = Vec::new();
     let count = seeds.clone().count();
     for seed in seeds {
         let arrivals = arrivals(seed);
@@ -57,25 +58,25 @@
             speeds: 1.0,
         };
         let mut sim = Simulation::new(options);
-        sim.late_orders = SHARE;
+        sim.late_orders = LATE_SHARE;
         faults(&mut sim, seed);
-        sim.run_until(secs(LATE));
+        sim.run_until(secs(LATE_UNTIL));
         sim.late_orders = 0.0;
-        sim.run_until(secs(LATE + LATEST));
-        for time in (LATE + LATEST) as u32..END as u32 {
+        sim.run_until(secs(LATE_UNTIL + MAX_DELAY));
+        for time in (LATE_UNTIL + MAX_DELAY) as u32..END as u32 {
             if sim.violations.is_empty() && verify(&sim, &arrivals).is_err() {
                 sim.run_until(secs(f64::from(time)));
             }
         }
-        if let Err(story) = verify(&sim, &arrivals) {
-            stories.push((seed, story));
+        if let Err(failure) = verify(&sim, &arrivals) {
+            failures.push((seed, failure));
         }
     }
-    let first = |story: &String| story.lines().next().unwrap_or_default().to_owned();
+    let first = |failure: &String| failure.lines().next().unwrap_or_default().to_owned();
     let broken: Vec<(u64, String)> =
-        stories.iter().map(|(seed, story)| (*seed, first(story))).collect();
-    if let Some((seed, story)) = stories.first() {
-        panic!("{} of {count} days: {broken:#?}\nseed {seed}: {story}", broken.len());
+        failures.iter().map(|(seed, failure)| (*seed, first(failure))).collect();
+    if let Some((seed, failure)) = failures.first() {
+        panic!("{} of {count} runs: {broken:#?}\nseed {seed}: {failure}", broken.len());
     }
 }
 
@@ -86,10 +87,11 @@
 /// Guards against a task that is started elsewhere while its earlier start may still take effect.
 #[test]
 fn late_orders_alone_break_no_promise() {
-    play(2_000..=2_019, draw, |_, _| {});
+    assert_invariants(2_000..=2_019, draw, |_, _| {});
 }
 
-/// Guards against room and tasks given away after a stop, or a start that was to be stopped, which take effect later.
+/// Guards against resources and tasks that are assigned again after a stop, although that stop, or
+/// the start that it was to stop, takes effect only later.
 #[test]
 fn late_stops_of_cancelled_and_displaced_jobs_break_no_promise() {
     let arrivals = |seed| {
@@ -100,8 +102,9 @@
                 arrival.cancel_after = Some(secs(rng.random_range(0.2..8.0)));
             }
         }
-        // Urgent jobs come once more, when the workers are full.
-        let urgent = load::draw(&sites::ATLANTICA, seed + 1, secs(LENGTH), 1.0);
+        // Adds the urgent jobs of another run, so that they displace others when the workers are
+        // full.
+        let urgent = load::draw(&sites::ATLANTICA, seed + 1, secs(LOAD_END), 1.0);
         for (number, mut arrival) in urgent.into_iter().enumerate() {
             if arrival.job.priority == 0 {
                 arrival.job.id = format!("{:016x}", 0x1000 + number);
@@ -110,7 +113,7 @@
         }
         arrivals
     };
-    play(2_100..=2_119, arrivals, |_, _| {});
+    assert_invariants(2_100..=2_119, arrivals, |_, _| {});
 }
 
 fn restart_agents(sim: &mut Simulation, seed: u64) {
@@ -123,10 +126,10 @@
     }
 }
 
-/// Guards against an agent that restarts and takes the orders of its earlier life as settled.
+/// Guards against an agent that restarts and considers the orders of its earlier process resolved.
 #[test]
 fn late_orders_of_agents_that_restart_break_no_promise() {
-    play(2_200..=2_219, draw, restart_agents);
+    assert_invariants(2_200..=2_219, draw, restart_agents);
 }
 
 fn change_planner(sim: &mut Simulation, seed: u64) {
@@ -140,10 +143,10 @@
     }
 }
 
-/// Guards against a planner that takes over and takes the orders of the one before as settled.
+/// Guards against a planner that takes over and considers its predecessor's orders resolved.
 #[test]
 fn late_orders_of_planners_that_change_break_no_promise() {
-    play(2_300..=2_319, draw, change_planner);
+    assert_invariants(2_300..=2_319, draw, change_planner);
 }
 
 fn drain_minions(sim: &mut Simulation, seed: u64) {
@@ -156,10 +159,11 @@
     }
 }
 
-/// Guards against starts that go on being sent to a minion that drains, and tasks taken for gone with it.
+/// Guards against starts that are still sent to a draining minion, and against tasks that are
+/// declared lost with it although they may still start.
 #[test]
 fn late_orders_to_minions_that_drain_break_no_promise() {
-    play(2_400..=2_419, draw, drain_minions);
+    assert_invariants(2_400..=2_419, draw, drain_minions);
 }
 
 fn restart_minions(sim: &mut Simulation, seed: u64) {
@@ -169,28 +173,31 @@
     }
 }
 
-/// Guards against a start meant for an earlier life of a minion that a later one of the same name carries out.
+/// Guards against a start that was sent to an earlier incarnation of a minion and is carried out by
+/// a later one with the same identifier.
 #[test]
 fn late_orders_to_minions_that_start_again_break_no_promise() {
-    play(2_500..=2_519, draw, restart_minions);
+    assert_invariants(2_500..=2_519, draw, restart_minions);
 }
 
-/// Guards, on more days, against a task that runs twice or never ends after a minion's next life carried out an earlier start.
+/// Guards, with more seeds, against a task that runs twice or never ends after a minion's next
+/// incarnation has carried out an earlier start.
 #[test]
-fn late_starts_in_a_minions_next_life_break_no_promise() {
-    play(2_520..=2_539, draw, restart_minions);
+fn late_starts_in_a_minions_next_incarnation_break_no_promise() {
+    assert_invariants(2_520..=2_539, draw, restart_minions);
 }
 
-/// Guards against the same between the start of a minion's next life and its agent's first call to it.
+/// Guards against the same between the start of a minion's next incarnation and its agent's first
+/// call to it.
 #[test]
-fn late_starts_before_a_next_life_is_known_break_no_promise() {
-    play(2_540..=2_559, draw, restart_minions);
+fn late_starts_before_a_next_incarnation_is_known_break_no_promise() {
+    assert_invariants(2_540..=2_559, draw, restart_minions);
 }
 
-/// Guards against the same on other days: on each of them a task ran twice, a worker was overfilled or a
-/// step had too many tasks on a worker.
+/// Guards against the same with seeds each of which once led to a task that ran twice, an
+/// overcommitted worker, or too many tasks of a step on a worker.
 #[test]
-fn late_starts_on_days_that_broke_a_promise_break_none() {
+fn late_starts_with_seeds_that_broke_a_promise_break_none() {
     let seeds = [
         30_003, 30_011, 30_013, 30_014, 30_018, 30_047, 30_049, 30_059, 30_114, 30_154, 30_172,
         30_187, 30_197, 30_199, 30_208, 30_261, 30_284, 30_300, 30_309, 30_313, 30_318, 30_326,
@@ -198,13 +205,13 @@
         30_459, 30_506, 30_518, 30_588, 30_598, 30_603, 30_606, 30_613, 30_614, 30_636, 30_638,
         30_781, 30_858, 30_869, 30_871, 30_892, 30_895, 30_903, 30_927, 30_946, 30_987,
     ];
-    play(seeds.into_iter(), draw, restart_minions);
+    assert_invariants(seeds.into_iter(), draw, restart_minions);
 }
 
-/// Guards against the same on days that were not chosen by how they end.
+/// Guards against the same with seeds that were not chosen by their outcome.
 #[test]
-fn late_starts_on_any_day_break_no_promise() {
-    play(70_000..=70_029, draw, restart_minions);
+fn late_starts_with_any_seeds_break_no_promise() {
+    assert_invariants(70_000..=70_029, draw, restart_minions);
 }
 
 fn restart_all(sim: &mut Simulation, seed: u64) {
@@ -225,31 +232,32 @@
     }
 }
 
-/// Guards against a start that is known to nobody when its minion starts again: its agent, or the
-/// planner, has restarted as well, or the same minion starts again and again.
+/// Guards against a start that no process knows of when its minion restarts: its agent or the
+/// planner has restarted as well, or the same minion restarts repeatedly.
 #[test]
 fn late_starts_among_restarts_of_everything_break_no_promise() {
-    play(71_000..=71_019, draw, restart_all);
+    assert_invariants(71_000..=71_019, draw, restart_all);
 }
 
-/// Guards against starts of two runs of a task that a minion's next life carries out while its
-/// agent is away.
+/// Guards against starts of two runs of a task that a minion's next incarnation carries out while
+/// its agent is paused or restarting.
 #[test]
 fn late_starts_while_agents_are_away_break_no_promise() {
-    play([72_031, 72_221, 72_222, 72_277].into_iter(), draw, restart_all);
+    assert_invariants([72_031, 72_221, 72_222, 72_277].into_iter(), draw, restart_all);
 }
 
-/// Guards against a caller that is told that its job has not run, after a try through another entry
-/// that had no answer and brought it in.
+/// Guards against a caller that is told that its job has not run, although an earlier try through
+/// another entry got no answer but submitted the job.
 #[test]
-fn a_job_that_is_said_not_to_have_run_does_not_run() {
-    play([72_004, 72_228, 72_326].into_iter(), draw, restart_all);
+fn a_job_that_is_reported_as_not_run_does_not_run() {
+    assert_invariants([72_004, 72_228, 72_326].into_iter(), draw, restart_all);
 }
 
-/// Guards against ways of settling a late order that hold for one fault and not for several at once.
+/// Guards against ways of resolving late orders that are safe under one kind of fault but not under
+/// several at once.
 #[test]
 fn late_orders_among_all_faults_break_no_promise() {
-    play(2_600..=2_619, draw, |sim, seed| {
+    assert_invariants(2_600..=2_619, draw, |sim, seed| {
         for round in 0..9_u64 {
             sim.run_until(secs(2.0 + 2.0 * round as f64));
             let agent = pick(seed + 4 * round, sim.agents());
--- a/crates/proofs/tests/proofs.rs
+++ b/crates/proofs/tests/proofs.rs
@@ -1,8 +1,8 @@
-//! What must hold, under faults, in virtual time.
+//! Tests in virtual time, most of them under faults.
 
 mod jobs;
 mod late;
 mod overload;
 mod promises;
 mod runs;
-mod stories;
+mod scenarios;
--- a/crates/proofs/tests/runs/mod.rs
+++ b/crates/proofs/tests/runs/mod.rs
@@ -1,4 +1,4 @@
-//! Short randomised runs with fixed seeds.
+//! Short randomised runs under load and faults, with fixed seeds.
 
 use std::time::Duration;
 
