--- a/crates/proofs/examples/policy_jobs.rs
+++ b/crates/proofs/examples/policy_jobs.rs
@@ -141,11 +141,11 @@
 fn print_row(site: &Site, scenario: Scenario, setting: &Setting, figures: &[Figures]) {
     let count = figures.len() as f64;
     let mean_of = |of: &dyn Fn(&Figures) -> f64| figures.iter().map(of).sum::<f64>() / count;
-    let score_mean = mean_of(&score);
-    let variance = mean_of(&|it: &Figures| (score(it) - score_mean).powi(2));
+    let mean_score = mean_of(&score);
+    let variance = mean_of(&|it: &Figures| (score(it) - mean_score).powi(2));
     let error = scenario.error.map_or("usual".to_owned(), |error| format!("{error:.1}"));
     println!(
-        "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {score_mean:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
+        "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {mean_score:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
         site.name,
         setting.name(),
         scenario.scale,
--- a/crates/proofs/src/chaos.rs
+++ b/crates/proofs/src/chaos.rs
@@ -260,7 +260,7 @@
             9 => {
                 self.count("store answers lost or slow");
                 self.sim.store_faults.lost_answers = 300;
-                self.sim.store_faults.slow = Duration::from_millis(200);
+                self.sim.store_faults.extra_delay = Duration::from_millis(200);
                 self.repair_after(500, 9_000, Repair::Store);
             }
             10 => {
--- a/crates/proofs/src/check.rs
+++ b/crates/proofs/src/check.rs
@@ -19,8 +19,11 @@
 /// One attempt of a gang, as the observer knows it from messages and starts.
 #[derive(Debug, Default)]
 struct Gang {
+    /// Number of tasks of its shape.
     tasks: u32,
-    held: BTreeMap<id::Process, u32>,
+    /// Agents of the gang, with the number of tasks that each has started.
+    members: BTreeMap<id::Process, u32>,
+    /// Agents that have granted their reservation.
     granted: BTreeSet<id::Process>,
     first_start: Option<Duration>,
 }
@@ -76,7 +79,7 @@
             frame::Body::Decide(decide) => {
                 let gang = self.gangs.entry(decide.attempt.clone()).or_default();
                 for member in &decide.members {
-                    gang.held.entry(member.name.clone()).or_default();
+                    gang.members.entry(member.name.clone()).or_default();
                 }
             }
             frame::Body::Hold(hold) => {
@@ -93,11 +96,12 @@
     pub fn check_start(&mut self, now: Duration, attempt: &str, agent: &str, tasks: u32) {
         let job = job_of(attempt);
         let gang = self.gangs.entry(attempt.to_owned()).or_default();
-        gang.held.insert(agent.to_owned(), tasks);
+        gang.members.insert(agent.to_owned(), tasks);
         if gang.first_start.is_none() {
             gang.first_start = Some(now);
             self.gangs_started += 1;
-            let missing: Vec<_> = gang.held.keys().filter(|n| !gang.granted.contains(*n)).collect();
+            let missing: Vec<_> =
+                gang.members.keys().filter(|n| !gang.granted.contains(*n)).collect();
             assert!(missing.is_empty(), "{attempt} starts before {missing:?} granted their holds");
         }
         assert!(
@@ -164,7 +168,7 @@
     fn assert_done(&self, job: &str, attempt: &str, agents: &BTreeMap<String, Host>) {
         let gang = &self.gangs[attempt];
         let mut tasks = 0;
-        for (agent, member_tasks) in &gang.held {
+        for (agent, member_tasks) in &gang.members {
             let task = agents.get(agent).and_then(|host| host.worker.tasks.get(attempt));
             let is_done = task.is_some_and(|task| task.has_exited);
             assert!(is_done, "{job} was reported as done but {agent} did not finish {attempt}");
@@ -195,7 +199,7 @@
         for (attempt, gang) in &self.gangs {
             let Some(first_start) = gang.first_start else { continue };
             let tasks: Vec<(&id::Process, Option<&worker::Task>)> = gang
-                .held
+                .members
                 .keys()
                 .map(|agent| (agent, agents[agent].worker.tasks.get(attempt)))
                 .collect();
--- a/crates/proofs/src/jobs/simulation/callers.rs
+++ b/crates/proofs/src/jobs/simulation/callers.rs
@@ -100,12 +100,12 @@
     /// When a caller was first told that a job is in this state, from the start of the load.
     pub fn reported_at(&self, id: &str, state: State) -> Option<Duration> {
         let at = self.reported.get(&(id.to_owned(), state.into()))?;
-        Some(at.saturating_sub(self.offset))
+        Some(at.saturating_sub(self.load_start))
     }
 
     /// When a job's first task started, from the start of the load.
     pub fn started(&self, id: &str) -> Option<Duration> {
-        Some(self.started.get(id)?.saturating_sub(self.offset))
+        Some(self.started.get(id)?.saturating_sub(self.load_start))
     }
 
     /// Whether a caller was told that the job is accepted.
--- a/crates/proofs/src/jobs/simulation/entries.rs
+++ b/crates/proofs/src/jobs/simulation/entries.rs
@@ -223,8 +223,8 @@
         if self.agents[agent].is_isolated || !self.entries[entry].is_up {
             return;
         }
-        self.last_number += 1;
-        let poll_id = self.last_number;
+        self.last_sequence += 1;
+        let poll_id = self.last_sequence;
         self.pending_polls.insert(poll_id, PendingPoll::Agent { agent, generation, ticket });
         let node = &self.entries[entry];
         if node.planner.is_none() {
@@ -247,8 +247,8 @@
         if !self.entries[entry].is_up {
             return;
         }
-        self.last_number += 1;
-        let poll_id = self.last_number;
+        self.last_sequence += 1;
+        let poll_id = self.last_sequence;
         self.pending_polls
             .insert(poll_id, PendingPoll::Entry { entry: requesting, generation, sent });
         let node = &self.entries[entry];
--- a/crates/proofs/src/jobs/simulation/faults.rs
+++ b/crates/proofs/src/jobs/simulation/faults.rs
@@ -121,7 +121,7 @@
         let id = minion.incarnation.id.clone();
         self.log_line(&format!("m{agent} drains id={id}"));
         self.send_heartbeat(agent);
-        self.after(leaves_after, Action::Leave(agent, id));
+        self.after(leaves_after, Action::Deregister(agent, id));
     }
 
     pub(super) fn deregister(&mut self, agent: usize, id: &str) {
--- a/crates/proofs/src/jobs/simulation/mod.rs
+++ b/crates/proofs/src/jobs/simulation/mod.rs
@@ -71,6 +71,7 @@
     paused_until: Duration,
 }
 
+/// Scheduled action. Numbers beside the index of a process are its generation.
 #[derive(Debug)]
 enum Action {
     EntryTick(usize, u64),
@@ -112,7 +113,7 @@
     ReadState(usize),
     StartEntry(usize),
     StartAgent(usize),
-    Leave(usize, String),
+    Deregister(usize, String),
     StartMinion(usize),
 }
 
@@ -134,18 +135,21 @@
     timeout_at: Duration,
 }
 
+/// Process that queries an entry for the current leader.
 #[derive(Clone, Copy, Debug)]
 enum Requester {
     Entry(usize),
     Agent(usize),
 }
 
+/// Part of an entry that made a call to the store; of a planner, with its term.
 #[derive(Clone, Debug)]
 enum Origin {
     Front(front::event::Operation),
     Planner(u64, planner::event::Operation),
 }
 
+/// Poll that waits for the planner, with what its reply needs.
 #[derive(Clone, Copy, Debug)]
 enum PendingPoll {
     Agent { agent: usize, generation: u64, ticket: u64 },
@@ -176,26 +180,37 @@
 /// Simulation of one fleet.
 pub struct Simulation {
     now: Duration,
+    /// Pending actions by time and by the order in which they were scheduled.
     queue: BTreeMap<(Duration, u64), Action>,
-    last_number: u64,
+    /// Latest sequence number of a scheduled action or a poll.
+    last_sequence: u64,
     rng: Pcg32,
     store: store::Store,
     is_store_up: bool,
+    /// Watches that the store has not answered yet: entry, its generation, origin, call, deadline.
     watches: Vec<(usize, u64, Origin, Call, Duration)>,
     entries: Vec<EntryNode>,
     agents: Vec<AgentNode>,
     minions: Vec<Minion>,
+    /// Polls that a planner has not answered yet.
     pending_polls: BTreeMap<u64, PendingPoll>,
+    /// Actual behaviour of the tasks, by job and step.
     truth: BTreeMap<(String, u32), Truth>,
     arrivals: Vec<Arrival>,
-    offset: Duration,
+    /// Time at which the load starts; arrivals and log lines count from it.
+    load_start: Duration,
+    /// When a caller was first told of each state of a job.
     reported: BTreeMap<(String, i32), Duration>,
+    /// When a caller was last told that its job is accepted.
     accepted: BTreeMap<String, Duration>,
     /// Latest refusal of each job that was refused.
     refused: BTreeMap<String, Duration>,
     refusals: BTreeMap<usize, Refusal>,
+    /// When a caller was first told that its job is cancelled.
     cancelled: BTreeMap<String, Duration>,
+    /// When the first task of each job started.
     started: BTreeMap<String, Duration>,
+    /// Runs that have ended as done, by task.
     completions: BTreeMap<Task, Vec<Completion>>,
     /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
@@ -207,6 +222,7 @@
     pub refused_orders: f64,
     /// How often a caller submits a refused job again.
     pub retries: u32,
+    /// Work lost on earlier incarnations of minions, in processor seconds.
     earlier_waste: f64,
     policy: Policy,
     /// Number of reads of the configuration.
@@ -240,7 +256,7 @@
         let mut sim = Simulation {
             now: Duration::from_secs(100),
             queue: BTreeMap::new(),
-            last_number: 0,
+            last_sequence: 0,
             rng: Pcg32::seed_from_u64(options.seed),
             store: store::Store::with_history(HISTORY_RETENTION),
             catalog_reads: 0,
@@ -252,7 +268,7 @@
             minions: Vec::new(),
             pending_polls: BTreeMap::new(),
             truth: BTreeMap::new(),
-            offset: Duration::ZERO,
+            load_start: Duration::ZERO,
             reported: BTreeMap::new(),
             accepted: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -269,7 +285,7 @@
             policy: options.policy,
             arrivals: options.arrivals,
         };
-        sim.offset = sim.now + WARM_UP;
+        sim.load_start = sim.now + WARM_UP;
         sim.configure(options.site);
         for region in 0..options.site.workers.len() {
             sim.add_entry(region);
@@ -286,7 +302,7 @@
             for (step, truth) in arrival.truth.iter().enumerate() {
                 sim.truth.insert((arrival.job.id.clone(), step as u32), truth.clone());
             }
-            let at = sim.offset + arrival.at;
+            let at = sim.load_start + arrival.at;
             let cancel = arrival.cancel_after;
             sim.at(at, Action::Submit(index));
             if let Some(after) = cancel {
@@ -373,8 +389,8 @@
     }
 
     fn at(&mut self, at: Duration, action: Action) {
-        self.last_number += 1;
-        self.queue.insert((at.max(self.now), self.last_number), action);
+        self.last_sequence += 1;
+        self.queue.insert((at.max(self.now), self.last_sequence), action);
     }
 
     fn after(&mut self, after: Duration, action: Action) {
@@ -387,12 +403,12 @@
 
     /// Time since the start of the load.
     pub fn time(&self) -> Duration {
-        self.now.saturating_sub(self.offset)
+        self.now.saturating_sub(self.load_start)
     }
 
     /// Runs until this time after the start of the load.
     pub fn run_until(&mut self, time: Duration) {
-        let until = self.offset + time;
+        let until = self.load_start + time;
         while let Some(((at, _), _)) = self.queue.first_key_value() {
             if *at > until {
                 break;
@@ -434,7 +450,7 @@
             Action::ReadState(index) => self.read_state(index),
             Action::StartEntry(entry) => self.start_entry(entry),
             Action::StartAgent(agent) => self.start_agent(agent),
-            Action::Leave(agent, id) => self.deregister(agent, &id),
+            Action::Deregister(agent, id) => self.deregister(agent, &id),
             Action::StartMinion(agent) => self.start_minion(agent),
         }
     }
@@ -458,7 +474,7 @@
     }
 
     fn log_line(&mut self, text: &str) {
-        let time = self.now.as_secs_f64() - self.offset.as_secs_f64();
+        let time = self.now.as_secs_f64() - self.load_start.as_secs_f64();
         self.log.push(format!("{time:.3} {text}"));
     }
 }
--- a/crates/proofs/src/simulation/mod.rs
+++ b/crates/proofs/src/simulation/mod.rs
@@ -130,7 +130,7 @@
     /// Calls that take effect but whose reply is lost, per thousand.
     pub lost_answers: u32,
     /// Extra delay of each call.
-    pub slow: Duration,
+    pub extra_delay: Duration,
 }
 
 struct InFlight {
--- a/crates/proofs/src/simulation/store_calls.rs
+++ b/crates/proofs/src/simulation/store_calls.rs
@@ -16,7 +16,7 @@
         call: Call,
     ) {
         let generation = self.entries.get(entry).map_or(0, |process| process.generation);
-        let at = self.now + Duration::from_millis(2) + self.store_faults.slow;
+        let at = self.now + Duration::from_millis(2) + self.store_faults.extra_delay;
         let stage = StoreStage::Arriving(call);
         let entry = entry.to_owned();
         self.store_calls.push(StoreCall { at, entry, generation, operation, stage });
