--- a/crates/proofs/examples/long.rs
+++ b/crates/proofs/examples/long.rs
@@ -5,19 +5,20 @@
 
 use sapphire_proofs::chaos;
 
-/// Runs seeds one after the other and prints what was done. Ends at the first fault found.
+/// Runs one seed after the other and prints counts of what happened. Stops at the first violated
+/// invariant.
 #[derive(argh::FromArgs)]
 struct Args {
     /// first seed
     #[argh(option, default = "1")]
     first: u64,
-    /// how many seeds
+    /// number of seeds
     #[argh(option, default = "100")]
     seeds: u64,
-    /// seconds of virtual time under faults, for each seed
+    /// seconds of virtual time under load and faults, for each seed
     #[argh(option, default = "60")]
     seconds: u64,
-    /// print the story of a seed that fails
+    /// print the trace of a seed that fails
     #[argh(switch)]
     story: bool,
 }
--- a/crates/proofs/examples/policy_jobs.rs
+++ b/crates/proofs/examples/policy_jobs.rs
@@ -11,42 +11,42 @@
     simulation, sites,
 };
 
-/// Runs days of load and prints how callers were served: mean and standard error over the seeds.
+/// Simulates runs and prints how well callers were served: mean and standard error over the seeds.
 #[derive(argh::FromArgs)]
 struct Args {
     /// first seed
     #[argh(option, default = "1")]
     first: u64,
-    /// seeds
+    /// number of seeds
     #[argh(option, default = "40")]
     seeds: u64,
-    /// load against the sites' usual; may be given more than once
+    /// factor on the sites' usual load; may be given more than once
     #[argh(option)]
     scale: Vec<f64>,
-    /// logarithm of the factor by which declared times are off; may be given more than once;
-    /// without it they are as usual at each site
+    /// logarithm of the largest factor by which declared run times are wrong; may be given more than
+    /// once; without it, they are as wrong as is usual at each site
     #[argh(option)]
     error: Vec<f64>,
     /// how many times faster the fastest worker is than the slowest; may be given more than once
     #[argh(option)]
     speeds: Vec<f64>,
-    /// mechanisms that a setting switches off, separated by commas; may be given more than once,
-    /// each time for one more setting beside the one with all on
+    /// mechanisms of the policy to switch off, separated by commas; may be given more than once, each
+    /// time for one more setting to compare with the one that has all mechanisms on
     #[argh(option)]
     off: Vec<String>,
-    /// show first-fit and backfill as well
+    /// simulate the baselines first-fit and backfill as well
     #[argh(switch)]
     baselines: bool,
-    /// only the site of this name
+    /// simulate only the site of this name
     #[argh(option)]
     site: Option<String>,
-    /// the deployment once grown instead of today's
+    /// simulate the deployment after growth instead of today's
     #[argh(switch)]
     grown: bool,
-    /// the deployment of hundreds of machines instead of today's
+    /// simulate the deployment of hundreds of machines instead of today's
     #[argh(switch)]
     large: bool,
-    /// print the log of one seed instead
+    /// print the log of each run as well
     #[argh(switch)]
     story: bool,
 }
