--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -265,8 +265,8 @@
     fn handle_key_reply(&mut self, now: Duration, sent: Duration, reply: Reply) {
         let is_unanswered = matches!(reply, Reply::Unavailable(_));
         match self.planner_key.reply(now, sent, reply) {
-            lease::Outcome::Same => {}
-            lease::Outcome::Taken(term) => {
+            lease::Outcome::Unchanged => {}
+            lease::Outcome::Acquired(term) => {
                 self.log(
                     LOG_MEMBER,
                     format!("planner key acquired region={} term={term}", self.options.region),
