--- a/crates/standins/examples/ask.rs
+++ b/crates/standins/examples/ask.rs
@@ -1,37 +1,37 @@
-//! Asks one thing over HTTP and checks the answer; for the demo.
+//! Sends one HTTP request and checks the response; used by the scripts of the demo and benchmarks.
 
 use std::{
     process,
     time::{Duration, Instant},
 };
 
-/// Ask once, or until the answer is as expected, and print it.
+/// Send a request once, or again until the response is as expected, and print the last response.
 #[derive(argh::FromArgs)]
 struct Args {
-    /// method; GET by default
+    /// HTTP method; GET by default
     #[argh(option, default = "String::from(\"GET\")")]
     method: String,
-    /// body
+    /// body of the request
     #[argh(option, default = "String::new()")]
     body: String,
-    /// header, as name=value; may be given more than once
+    /// header of the request, as name=value; may be given more than once
     #[argh(option)]
     header: Vec<String>,
-    /// status that the answer must have
+    /// status that the response must have
     #[argh(option, default = "200")]
     status: u16,
-    /// text that the answer's body must hold
+    /// text that the body of the response must contain
     #[argh(option, default = "String::new()")]
     holds: String,
-    /// ask again until the answer is as expected, at most this many seconds
+    /// send the request again until the response is as expected, for at most this many seconds
     #[argh(option, default = "0")]
     within: u64,
-    /// address
+    /// URL of the request
     #[argh(positional)]
     url: String,
 }
 
-fn ask(args: &Args) -> Result<(u16, String), ureq::Error> {
+fn send(args: &Args) -> Result<(u16, String), ureq::Error> {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(Duration::from_secs(20)))
         .http_status_as_error(false)
@@ -53,14 +53,14 @@
 
 fn main() {
     let args: Args = argh::from_env();
-    let until = Instant::now() + Duration::from_secs(args.within);
+    let deadline = Instant::now() + Duration::from_secs(args.within);
     loop {
-        let answer = ask(&args);
-        let is_expected = answer
+        let response = send(&args);
+        let is_expected = response
             .as_ref()
             .is_ok_and(|(status, body)| *status == args.status && body.contains(&args.holds));
-        if is_expected || Instant::now() >= until {
-            println!("{} {} -> {answer:?}", args.method, args.url);
+        if is_expected || Instant::now() >= deadline {
+            println!("{} {} -> {response:?}", args.method, args.url);
             process::exit(i32::from(!is_expected));
         }
         std::thread::sleep(Duration::from_millis(50));
--- a/crates/standins/examples/jobs.rs
+++ b/crates/standins/examples/jobs.rs
@@ -1,4 +1,5 @@
-//! Submits jobs one after the other and at once, and times them; for `scripts/bench-fleet.sh`.
+//! Submits jobs one by one and then all at once, and prints how long they took; used by
+//! `scripts/bench-fleet.sh`.
 
 use std::{
     thread,
@@ -8,13 +9,13 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// Time from submission to acceptance and to the first task's start.
+/// Measure the time from the submission of a job to its acceptance, its start and its end.
 #[derive(argh::FromArgs)]
 struct Args {
-    /// address of an entry
+    /// address of an entry's HTTP interface, as host:port
     #[argh(option)]
     entry: String,
-    /// jobs
+    /// number of jobs to submit one by one, and again at once
     #[argh(option)]
     jobs: usize,
 }
@@ -32,7 +33,7 @@
     serde_json::from_str(&response.body_mut().read_to_string().ok()?).ok()
 }
 
-/// The job once it has ended.
+/// Waits at most 10 s for the end of a job and returns the job.
 fn wait(agent: &ureq::Agent, entry: &str, id: &str) -> Option<Value> {
     let url = format!("http://{entry}/v1/jobs/{id}?wait=10s");
     let text = agent.get(url).call().ok()?.body_mut().read_to_string().ok()?;
@@ -48,14 +49,16 @@
     let args: Args = argh::from_env();
     let config = ureq::Agent::config_builder().timeout_global(Some(Duration::from_secs(30)));
     let agent: ureq::Agent = config.build().into();
-    let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("fixed and valid");
+    let histogram =
+        || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are fixed and valid");
     let (mut accepted, mut ended, mut started) = (histogram(), histogram(), histogram());
     for number in 0..args.jobs {
         let begin = Instant::now();
-        let job = submit(&agent, &args.entry, &format!("one-{number}")).expect("accepted");
+        let job = submit(&agent, &args.entry, &format!("one-{number}"))
+            .expect("the entry accepts the job");
         accepted.saturating_record(begin.elapsed().as_micros() as u64);
-        let id = job["id"].as_str().expect("it has one").to_owned();
-        let job = wait(&agent, &args.entry, &id).expect("answered");
+        let id = job["id"].as_str().expect("an accepted job has an id").to_owned();
+        let job = wait(&agent, &args.entry, &id).expect("the entry returns the job");
         assert_eq!(job["state"], "done", "{job}");
         ended.saturating_record(begin.elapsed().as_micros() as u64);
         let millis = |name: &str| job[name].as_u64().unwrap_or(0);
--- a/crates/standins/examples/load.rs
+++ b/crates/standins/examples/load.rs
@@ -1,6 +1,7 @@
-//! Closed-loop HTTP load on loopback against one or two addresses in turn, with ratios.
+//! Puts closed-loop HTTP load on two URLs in turn and prints the ratio of their throughputs.
 //!
-//! Each connection asks, waits for the answer and asks again, for a bounded time.
+//! Each connection sends a request, waits for the response and sends the next one, until the round
+//! is over.
 
 use std::{
     sync::{Arc, Barrier, Mutex},
@@ -10,22 +11,22 @@
 
 use hdrhistogram::Histogram;
 
-/// Measure one address against another, round by round, in one run.
+/// Compare the throughput and latency of two URLs, round by round.
 #[derive(argh::FromArgs)]
 struct Args {
-    /// baseline: URL asked straight
+    /// URL of the baseline, which is requested directly
     #[argh(option)]
     straight: String,
-    /// URL asked through the system
+    /// URL of the same service, requested through the system
     #[argh(option)]
     through: String,
-    /// connections; may be given more than once
+    /// number of concurrent connections; may be given more than once
     #[argh(option)]
     connections: Vec<usize>,
-    /// rounds of each
+    /// rounds per URL and number of connections
     #[argh(option, default = "3")]
     rounds: usize,
-    /// milliseconds of each round
+    /// length of a round in milliseconds
     #[argh(option, default = "2000")]
     millis: u64,
 }
@@ -36,15 +37,15 @@
     per_second: f64,
 }
 
-/// One connection's loop.
-fn ask(url: &str, until: Instant, micros: &mut Histogram<u64>) -> u64 {
+/// Sends requests over one connection until the deadline; returns the number of failures.
+fn run_connection(url: &str, deadline: Instant, micros: &mut Histogram<u64>) -> u64 {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(Duration::from_secs(10)))
         .http_status_as_error(false)
         .build();
     let agent: ureq::Agent = config.into();
     let mut failures = 0;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let begin = Instant::now();
         let is_ok = agent.get(url).call().is_ok_and(|mut response| {
             response.status().as_u16() == 200 && response.body_mut().read_to_vec().is_ok()
@@ -63,7 +64,7 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are fixed and valid")
 }
 
-fn round(url: &str, connections: usize, time: Duration) -> Round {
+fn round(url: &str, connections: usize, length: Duration) -> Round {
     let total = Arc::new(Mutex::new((histogram(), 0)));
     let barrier = Arc::new(Barrier::new(connections));
     let threads: Vec<_> = (0..connections)
@@ -72,8 +73,8 @@
             thread::spawn(move || {
                 let mut micros = histogram();
                 barrier.wait();
-                let failures = ask(&url, Instant::now() + time, &mut micros);
-                let mut total = total.lock().expect("no thread panics while it holds this");
+                let failures = run_connection(&url, Instant::now() + length, &mut micros);
+                let mut total = total.lock().expect("no thread panics while holding the lock");
                 total.0 += micros;
                 total.1 += failures;
             })
@@ -82,20 +83,20 @@
     for thread in threads {
         thread.join().expect("a connection's loop does not panic");
     }
-    let total = total.lock().expect("no thread panics while it holds this");
+    let total = total.lock().expect("no thread panics while holding the lock");
     let (micros, failures) = (total.0.clone(), total.1);
-    let per_second = micros.len() as f64 / time.as_secs_f64();
+    let per_second = micros.len() as f64 / length.as_secs_f64();
     Round { micros, failures, per_second }
 }
 
 fn main() {
     let args: Args = argh::from_env();
-    let time = Duration::from_millis(args.millis);
+    let length = Duration::from_millis(args.millis);
     println!("connections  path      p50_us  p99_us  per_second  failures  ratio");
     for connections in &args.connections {
         for _ in 0..args.rounds {
-            let straight = round(&args.straight, *connections, time);
-            let through = round(&args.through, *connections, time);
+            let straight = round(&args.straight, *connections, length);
+            let through = round(&args.through, *connections, length);
             let ratio = through.per_second / straight.per_second;
             for (name, round, ratio) in [("straight", &straight, 1.0), ("through", &through, ratio)]
             {
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -1,10 +1,10 @@
-//! Runs the stand-in platform on loopback: a key-value service, workers and minions.
+//! Runs a stand-in platform on loopback: a key-value service, workers and minions.
 
 use std::{net::Ipv4Addr, thread};
 
 use sapphire_standins::{minion, store, worker};
 
-/// Stand-in platform for development. Serves until it is ended.
+/// Stand-in platform for development. Serves until the process is killed.
 #[derive(argh::FromArgs)]
 struct Args {
     /// port of the key-value service
--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -1,4 +1,5 @@
-//! The platform's side: the store and the minions, spoken to over HTTP.
+//! The jobs platform's side of its HTTP protocol: parses calls to the store and orders to minions,
+//! and writes the responses.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,11 +11,11 @@
     jobs::minion::{Minion, Truth},
     store::Store,
 };
-use sapphire_runner::minion::{Call as Order, Reply as Said};
+use sapphire_runner::minion::{Call as Order, Reply as MinionReply};
 use sapphire_store::call::{Call, Condition, Item, Put, Reply};
 use serde_json::{Value, json};
 
-/// What a minion of the stand-in has.
+/// Resources of each stand-in minion.
 pub const CAPACITY: Resources = Resources { millicores: 8_000, memory_mib: 8_000, accelerators: 4 };
 
 fn text(value: &Value) -> String {
@@ -27,7 +28,7 @@
     found.map_or_else(String::new, |(_, value)| value.to_owned())
 }
 
-/// Reads a call to the store.
+/// Parses a call to the store; `None` if the path is unknown or a number is missing or invalid.
 pub fn store_call(request: &Request) -> Option<Call> {
     let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
     let path = request.path();
@@ -85,7 +86,7 @@
     }
 }
 
-/// Writes an answer of the store.
+/// HTTP response that carries a reply of the store.
 pub fn store_response(call: &Call, reply: &Reply) -> Response {
     let items = |items: &[Item]| items.iter().map(item).collect::<Vec<_>>();
     let (status, body) = match reply {
@@ -114,7 +115,8 @@
     Response::new(status, body.to_string())
 }
 
-/// Writes the operators' configuration: one queue with work, so many without, one organisation.
+/// Stores the platform's configuration: the queue `q`, which gets the jobs, `idle_routes` queues that
+/// get none, and one organisation.
 pub fn configure(store: &mut Store, now: Duration, idle_routes: usize) {
     let route = |name: &str| {
         json!({
@@ -138,7 +140,7 @@
     store.call(now, &put);
 }
 
-/// A life of a minion.
+/// The incarnation of an agent's minion that started at `born_ms`, in milliseconds.
 pub fn incarnation(agent: u8, born_ms: u64) -> Incarnation {
     Incarnation {
         id: format!("m{agent}"),
@@ -151,7 +153,8 @@
     }
 }
 
-/// A heartbeat of a minion.
+/// Heartbeat that a minion sends to its agent; `address` is where the minion takes orders, and
+/// `sequence` increases from one heartbeat to the next.
 pub fn beat(minion: &Minion, address: &str, sequence: u64) -> Request {
     let body = json!({
         "service": "desk", "address": address, "zone": "z", "version": "v1", "slots": 8,
@@ -165,7 +168,7 @@
     Request::new("PUT", &format!("/instances/{}", minion.incarnation.id), body.to_string())
 }
 
-fn task(name: &str) -> Option<Task> {
+fn parse_task(name: &str) -> Option<Task> {
     let parts: Vec<&str> = name.split('.').collect();
     let [job, occurrence, step, index] = parts[..] else { return None };
     Some(Task {
@@ -176,12 +179,12 @@
     })
 }
 
-/// Life of a minion that an order names; empty for any.
+/// Identifier that the minion must have to accept the request; empty if any minion may.
 pub fn life(request: &Request) -> String {
     request.header("X-Expect-Instance").unwrap_or_default().to_owned()
 }
 
-/// Reads an order to a minion.
+/// Parses an order to a minion; `None` if it is malformed.
 pub fn order(request: &Request) -> Option<Order> {
     let body: Value = serde_json::from_slice(&request.body).ok()?;
     let number = |name: &str| body[name].as_u64();
@@ -195,7 +198,7 @@
             wait: millis("wait_ms").unwrap_or_default(),
         },
         "/run-start" => {
-            let run = task(&text(&body["task"]))?.run(u32::try_from(number("run_id")?).ok()?);
+            let run = parse_task(&text(&body["task"]))?.run(u32::try_from(number("run_id")?).ok()?);
             let start = Start {
                 run: Some(run),
                 spec: text(&body["spec"]),
@@ -205,7 +208,7 @@
             Order::Start { start: Box::new(start), deadline: millis("deadline_ms")?, token }
         }
         "/run-stop" => Order::Stop {
-            task: task(&text(&body["task"]))?,
+            task: parse_task(&text(&body["task"]))?,
             number: u32::try_from(number("run_id")?).ok()?,
             token,
         },
@@ -213,28 +216,28 @@
     })
 }
 
-/// Carries out an order and writes the answer.
+/// Applies an order to a minion. Returns the response, and whether a start or stop was carried out.
 pub fn obey(
     minion: &mut Minion,
     now: Duration,
     order: &Order,
     truth: &BTreeMap<(String, u32), Truth>,
 ) -> (Response, bool) {
-    let said = minion.call(now, order, truth);
+    let reply = minion.call(now, order, truth);
     let clock = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
-    let is_done = said == Said::Done;
-    let response = match said {
-        Said::Listed { running, ended, .. } => {
+    let is_done = reply == MinionReply::Done;
+    let response = match reply {
+        MinionReply::Listed { running, ended, .. } => {
             let running: Vec<Value> = (running.iter())
                 .filter_map(|it| Some((Task::read(it.run.as_ref()?), it)))
                 .map(|(task, it)| {
-                    json!([name(&task), it.run.as_ref().map(|run| run.run), "", it.percent])
+                    json!([task_name(&task), it.run.as_ref().map(|run| run.run), "", it.percent])
                 })
                 .collect();
             let ended: Vec<Value> = (ended.iter())
                 .filter_map(|it| Some((Task::read(it.run.as_ref()?), it)))
                 .map(|(task, it)| {
-                    let how = match it.ending().as_str_name() {
+                    let ending = match it.ending().as_str_name() {
                         "DONE" => "done",
                         "FAULTY" => "failed",
                         "STOPPED" => "stopped",
@@ -243,7 +246,7 @@
                         _ => "alone",
                     };
                     let run = it.run.as_ref().map(|run| run.run);
-                    json!([it.number, name(&task), run, how, it.checkpoint])
+                    json!([it.number, task_name(&task), run, ending, it.checkpoint])
                 })
                 .collect();
             let body = json!({
@@ -252,8 +255,8 @@
             });
             Response::new(200, body.to_string())
         }
-        Said::Done => Response::new(200, json!({ "clock_ms": clock }).to_string()),
-        Said::Refused(rejection) => {
+        MinionReply::Done => Response::new(200, json!({ "clock_ms": clock }).to_string()),
+        MinionReply::Refused(rejection) => {
             let reason = match rejection {
                 Rejection::Fenced => "fence",
                 Rejection::Late => "late",
@@ -266,6 +269,6 @@
     (response, is_done)
 }
 
-fn name(task: &Task) -> String {
+fn task_name(task: &Task) -> String {
     format!("{}.{}.{}.{}", task.job, task.occurrence, task.step, task.index)
 }
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -1,68 +1,68 @@
-//! One thread a request, so that a long poll holds up no other.
+//! HTTP server with one thread per request, so that a long poll doesn't block other requests.
 
 use std::{sync::Arc, thread};
 
 use eyre::eyre;
 use tiny_http::{Header, Method, Request, Response, Server};
 
-/// A request, read whole.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path without the query.
     pub path: String,
-    /// Query.
+    /// Query string without the question mark; empty if there is none.
     pub query: String,
-    /// Headers, names in lower case.
+    /// Headers; names are in lower case.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// A query parameter as a number.
+    /// Value of a query parameter; `None` if it is missing or not a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
     }
 
-    /// A header as a number.
+    /// Value of a header, by its name in lower case; `None` if it is missing or not a number.
     pub fn header(&self, name: &str) -> Option<u64> {
         let found = self.headers.iter().find(|(key, _)| key == name);
         found.and_then(|(_, value)| value.parse().ok())
     }
 
-    /// The body as JSON; null when it is not.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// An answer.
+/// The response to a request.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
     /// Headers.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Vec<u8>,
-    /// Drop the connection without an answer.
+    /// The connection is closed without a response.
     pub is_lost: bool,
 }
 
 impl Reply {
-    /// A reply with a status and a body.
+    /// Reply with a status and a body, and no headers.
     pub fn new(status: u16, body: impl Into<Vec<u8>>) -> Self {
         Reply { status, body: body.into(), ..Reply::default() }
     }
 }
 
-/// Serves until the process ends.
+/// Listens on an address and serves requests in the background until the process ends.
 ///
 /// # Errors
-/// When the address can't be listened on.
+/// Returns an error if the process can't listen on the address.
 pub fn serve(
     address: &str,
     handle: impl Fn(Call) -> Reply + Send + Sync + 'static,
@@ -72,13 +72,13 @@
     thread::spawn(move || {
         while let Ok(request) = server.recv() {
             let handle = handle.clone();
-            thread::spawn(move || answer(request, &*handle));
+            thread::spawn(move || respond(request, &*handle));
         }
     });
     Ok(())
 }
 
-fn answer(mut request: Request, handle: &dyn Fn(Call) -> Reply) {
+fn respond(mut request: Request, handle: &dyn Fn(Call) -> Reply) {
     let (path, query) = request.url().split_once('?').unwrap_or((request.url(), ""));
     let (path, query) = (path.to_owned(), query.to_owned());
     let headers = request.headers().iter().map(|header| {
@@ -93,7 +93,7 @@
     }
     let reply = handle(Call { method, path, query, headers, body });
     if reply.is_lost {
-        // Dropping the writer closes the connection with nothing said.
+        // Dropping the writer closes the connection before anything of the response is sent.
         drop(request.into_writer());
         return;
     }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -1,8 +1,9 @@
-//! The key-value service: compare-and-swap, leases, watches, call counts, faults.
+//! Stand-in of the key-value service: compare-and-swap, leases, watches, call counts, faults.
 //!
-//! Faults are set by `PUT /faults` with JSON: `{"down": true}`, `{"slow_ms": 200}`,
-//! `{"lose_answers": 3}` (the next writes take effect and are not answered). `GET /counts`
-//! tells how many calls of each kind came.
+//! `PUT /faults` sets the faults from a JSON object: `{"down": true}` closes connections without a
+//! response, `{"slow_ms": 200}` delays each request, `{"lose_answers": 3}` processes the next three
+//! writes but doesn't answer them. `GET /counts` returns the number of calls of each kind and the
+//! size of each value in bytes.
 
 use std::{
     collections::BTreeMap,
@@ -16,10 +17,10 @@
 
 use crate::serve::{self, Call, Reply};
 
-/// Longest time a watch is held.
-const WATCH_HOLD: Duration = Duration::from_secs(30);
-/// Largest value, in bytes.
-const MAX_VALUE: usize = 1 << 20;
+/// Time after which a watch is answered although the value has not changed.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
+/// Size of the largest value that can be written.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Default)]
 struct Entry {
@@ -30,7 +31,7 @@
 
 struct Lease {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Clone, Default)]
@@ -50,53 +51,57 @@
 }
 
 impl State {
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let lapsed: Vec<u64> =
-            self.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
-        for id in lapsed {
-            self.drop_lease(id);
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
+            self.remove_lease(id);
         }
     }
 
-    fn drop_lease(&mut self, id: u64) -> bool {
-        let was_there = self.leases.remove(&id).is_some();
+    fn remove_lease(&mut self, id: u64) -> bool {
+        let existed = self.leases.remove(&id).is_some();
         self.entries.retain(|_, entry| entry.lease != Some(id));
-        was_there
+        existed
     }
 
     fn entry(&self, key: &str) -> Entry {
         self.entries.get(key).cloned().unwrap_or_default()
     }
 
-    fn count(&mut self, kind: &'static str) {
+    fn count_call(&mut self, kind: &'static str) {
         *self.counts.entry(kind).or_default() += 1;
     }
 }
 
-/// The service.
+/// The key-value service; clones share their state.
 #[derive(Clone, Default)]
 pub struct Store {
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Store {
-    /// Serves an empty store.
+    /// Starts an empty store that listens on an address, and returns at once.
     ///
     /// # Errors
-    /// When the address can't be listened on.
+    /// Returns an error if the process can't listen on the address.
     pub fn serve(address: &str) -> eyre::Result<()> {
         let store = Store::default();
         serve::serve(address, move |call| store.handle(&call))
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.shared.0.lock().expect("no thread panics while it holds this")
+        self.shared.0.lock().expect("no thread panics while holding the lock")
     }
 
     fn handle(&self, call: &Call) -> Reply {
         let path = call.path.clone();
-        if let Some(reply) = self.control(call) {
+        if let Some(reply) = self.handle_control(call) {
             return reply;
         }
         let faults = self.lock().faults.clone();
@@ -105,17 +110,17 @@
         }
         thread::sleep(faults.slow);
         let reply = if let Some(key) = path.strip_prefix("/kv/") {
-            self.key(call, key)
+            self.handle_key(call, key)
         } else if let Some(id) = path.strip_prefix("/leases") {
-            self.lease(call, id.trim_start_matches('/'))
+            self.handle_lease(call, id.trim_start_matches('/'))
         } else {
             Reply::new(404, "no such path")
         };
-        self.lose(call, reply)
+        self.drop_answer(call, reply)
     }
 
-    /// Takes effect, but does not answer, as often as the faults say.
-    fn lose(&self, call: &Call, reply: Reply) -> Reply {
+    /// Drops the response to a write that was processed, if the faults require it.
+    fn drop_answer(&self, call: &Call, reply: Reply) -> Reply {
         let mut state = self.lock();
         if call.method == Method::Put
             && call.path.starts_with("/kv/")
@@ -127,7 +132,7 @@
         reply
     }
 
-    fn control(&self, call: &Call) -> Option<Reply> {
+    fn handle_control(&self, call: &Call) -> Option<Reply> {
         match (&call.method, call.path.as_str()) {
             (Method::Put, "/faults") => {
                 let value = call.json();
@@ -152,13 +157,13 @@
         }
     }
 
-    fn key(&self, call: &Call, key: &str) -> Reply {
+    fn handle_key(&self, call: &Call, key: &str) -> Reply {
         match (&call.method, call.number("above")) {
             (Method::Get, None) => {
                 let mut state = self.lock();
-                state.count("get");
-                state.lapse();
-                value(200, &state.entry(key))
+                state.count_call("get");
+                state.expire_leases();
+                entry_reply(200, &state.entry(key))
             }
             (Method::Get, Some(above)) => self.watch(key, above),
             (Method::Put, _) => self.put(call, key),
@@ -167,69 +172,72 @@
     }
 
     fn watch(&self, key: &str, above: u64) -> Reply {
-        let until = Instant::now() + WATCH_HOLD;
+        let deadline = Instant::now() + WATCH_TIMEOUT;
         let mut state = self.lock();
-        state.count("watch");
+        state.count_call("watch");
         loop {
-            state.lapse();
+            state.expire_leases();
             if state.faults.down {
                 return Reply { is_lost: true, ..Reply::default() };
             }
             let entry = state.entry(key);
-            let left = until.saturating_duration_since(Instant::now());
-            if entry.revision > above || left.is_zero() {
-                return value(200, &entry);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if entry.revision > above || remaining.is_zero() {
+                return entry_reply(200, &entry);
             }
-            let (next, _) =
-                self.shared.1.wait_timeout(state, left).expect("no thread panics with the lock");
+            let (next, _) = self
+                .shared
+                .1
+                .wait_timeout(state, remaining)
+                .expect("no thread panics while holding the lock");
             state = next;
         }
     }
 
     fn put(&self, call: &Call, key: &str) -> Reply {
         let mut state = self.lock();
-        state.count("put");
-        state.lapse();
+        state.count_call("put");
+        state.expire_leases();
         let expected = call.header("if-match").unwrap_or(0);
         let lease = call.header("x-lease");
         let current = state.entry(key);
-        let is_leased = lease.is_none_or(|lease| state.leases.contains_key(&lease));
-        if current.revision != expected || !is_leased {
-            return value(409, &current);
+        let is_lease_valid = lease.is_none_or(|lease| state.leases.contains_key(&lease));
+        if current.revision != expected || !is_lease_valid {
+            return entry_reply(409, &current);
         }
-        if call.body.len() > MAX_VALUE {
+        if call.body.len() > MAX_VALUE_BYTES {
             return Reply::new(413, "the value is larger than a megabyte");
         }
         state.revision += 1;
         let entry = Entry { revision: state.revision, value: call.body.clone(), lease };
-        let reply = value(200, &Entry { value: Vec::new(), ..entry.clone() });
+        let reply = entry_reply(200, &Entry { value: Vec::new(), ..entry.clone() });
         state.entries.insert(key.to_owned(), entry);
         drop(state);
         self.shared.1.notify_all();
         reply
     }
 
-    fn lease(&self, call: &Call, id: &str) -> Reply {
+    fn handle_lease(&self, call: &Call, id: &str) -> Reply {
         let mut state = self.lock();
-        state.count("lease");
-        state.lapse();
+        state.count_call("lease");
+        state.expire_leases();
         if call.method == Method::Post {
             let ttl = Duration::from_millis(call.number("ttl_ms").unwrap_or(1_000));
             state.revision += 1;
             let id = state.revision;
-            state.leases.insert(id, Lease { ttl, until: Instant::now() + ttl });
+            state.leases.insert(id, Lease { ttl, expires_at: Instant::now() + ttl });
             return Reply::new(200, id.to_string());
         }
         let id = id.parse().unwrap_or(0);
         if call.method == Method::Delete {
-            let was_there = state.drop_lease(id);
+            let existed = state.remove_lease(id);
             drop(state);
             self.shared.1.notify_all();
-            return Reply::new(if was_there { 200 } else { 404 }, id.to_string());
+            return Reply::new(if existed { 200 } else { 404 }, id.to_string());
         }
         match state.leases.get_mut(&id) {
             Some(lease) => {
-                lease.until = Instant::now() + lease.ttl;
+                lease.expires_at = Instant::now() + lease.ttl;
                 Reply::new(200, id.to_string())
             }
             None => Reply::new(404, "no such lease"),
@@ -237,7 +245,7 @@
     }
 }
 
-fn value(status: u16, entry: &Entry) -> Reply {
+fn entry_reply(status: u16, entry: &Entry) -> Reply {
     Reply {
         headers: vec![("X-Revision", entry.revision.to_string())],
         ..Reply::new(status, entry.value.clone())
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,4 +1,8 @@
-//! A worker: runs tasks under leases. A task's program is `sleep 200ms`, `exit 3` or `run`.
+//! Stand-in of a worker, which runs tasks under leases.
+//!
+//! The command of a task says what its program does: `sleep 200ms` exits with code 0 after that time,
+//! `exit 3` exits at once with that code, and any other command, such as `run`, runs until it is
+//! stopped.
 
 use std::{
     collections::BTreeMap,
@@ -12,15 +16,18 @@
 
 use crate::serve::{self, Call, Reply};
 
-/// Longest time a poll is held.
-const POLL_HOLD: Duration = Duration::from_secs(30);
-/// How often leases and programs are looked at.
-const STEP: Duration = Duration::from_millis(10);
+/// Time after which a poll is answered although no task has changed.
+const POLL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks for expired leases and programs that have exited.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 struct Task {
     tasks: u64,
-    until: Instant,
-    ends: Option<(Instant, i64)>,
+    /// End of the lease.
+    lease_expires_at: Instant,
+    /// Time at which the program exits by itself, and its exit code.
+    program_exit: Option<(Instant, i64)>,
+    /// Version of the worker's state at which this task last changed.
     version: u64,
     state: &'static str,
     exit_code: i64,
@@ -35,7 +42,13 @@
 }
 
 impl State {
-    fn alter(&mut self, attempt: &str, state: &'static str, exit_code: i64, reason: &'static str) {
+    fn set_state(
+        &mut self,
+        attempt: &str,
+        state: &'static str,
+        exit_code: i64,
+        reason: &'static str,
+    ) {
         self.version += 1;
         let version = self.version;
         if let Some(task) = self.tasks.get_mut(attempt) {
@@ -44,45 +57,47 @@
         }
     }
 
-    fn step(&mut self) -> bool {
+    /// Ends tasks whose program has exited or whose lease has expired; returns whether there were
+    /// any.
+    fn end_due(&mut self) -> bool {
         let now = Instant::now();
         let mut changes = Vec::new();
         for (attempt, task) in &self.tasks {
             if task.state == "exited" || task.state == "stopped" {
                 continue;
             }
-            if let Some((_, code)) = task.ends.filter(|(at, _)| *at <= now) {
+            if let Some((_, code)) = task.program_exit.filter(|(at, _)| *at <= now) {
                 changes.push((attempt.clone(), "exited", code, "its program ended"));
-            } else if task.until <= now {
+            } else if task.lease_expires_at <= now {
                 changes.push((attempt.clone(), "stopped", 0, "its lease lapsed"));
             }
         }
         for (attempt, state, code, reason) in &changes {
-            self.alter(attempt, state, *code, reason);
+            self.set_state(attempt, state, *code, reason);
         }
         !changes.is_empty()
     }
 }
 
-/// The worker.
+/// The worker; clones share their state.
 #[derive(Clone, Default)]
 pub struct Worker {
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Worker {
-    /// Serves an idle worker.
+    /// Starts an idle worker that listens on an address, and returns at once.
     ///
     /// # Errors
-    /// When the address can't be listened on.
+    /// Returns an error if the process can't listen on the address.
     pub fn serve(address: &str) -> eyre::Result<()> {
         let worker = Worker::default();
-        let stepping = worker.clone();
+        let ticker = worker.clone();
         thread::spawn(move || {
             loop {
-                thread::sleep(STEP);
-                if stepping.lock().step() {
-                    stepping.shared.1.notify_all();
+                thread::sleep(CHECK_INTERVAL);
+                if ticker.lock().end_due() {
+                    ticker.shared.1.notify_all();
                 }
             }
         });
@@ -90,7 +105,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.shared.0.lock().expect("no thread panics while it holds this")
+        self.shared.0.lock().expect("no thread panics while holding the lock")
     }
 
     fn handle(&self, call: &Call) -> Reply {
@@ -102,18 +117,18 @@
                 let mut state = self.lock();
                 let attempts: Vec<String> = state.tasks.keys().cloned().collect();
                 for attempt in attempts {
-                    state.alter(&attempt, "stopped", 0, "reset");
+                    state.set_state(&attempt, "stopped", 0, "reset");
                 }
                 Reply::new(200, "reset")
             }
             (Method::Post, "/run") => self.run(&attempt, &body),
             (Method::Post, "/renew") => self.renew(&attempt, &body),
             (Method::Post, "/checkpoint") => {
-                self.lock().alter(&attempt, "checkpointed", 0, "");
+                self.lock().set_state(&attempt, "checkpointed", 0, "");
                 Reply::new(200, "checkpointed")
             }
             (Method::Post, "/stop") => {
-                self.lock().alter(&attempt, "stopped", 0, "stopped");
+                self.lock().set_state(&attempt, "stopped", 0, "stopped");
                 Reply::new(200, "stopped")
             }
             _ => Reply::new(404, "no such path"),
@@ -133,8 +148,9 @@
         state.started += 1;
         let task = Task {
             tasks: body["tasks"].as_u64().unwrap_or(1),
-            until: now + lease,
-            ends: program(body["command"].as_str().unwrap_or_default()).map(|(t, c)| (now + t, c)),
+            lease_expires_at: now + lease,
+            program_exit: parse_program(body["command"].as_str().unwrap_or_default())
+                .map(|(t, c)| (now + t, c)),
             version: state.version,
             state: "running",
             exit_code: 0,
@@ -148,7 +164,7 @@
         let lease = Duration::from_millis(body["lease_ms"].as_u64().unwrap_or(0));
         match self.lock().tasks.get_mut(attempt) {
             Some(task) if task.state != "exited" && task.state != "stopped" => {
-                task.until = Instant::now() + lease;
+                task.lease_expires_at = Instant::now() + lease;
                 Reply::new(200, "renewed")
             }
             _ => Reply::new(404, "not running"),
@@ -156,15 +172,18 @@
     }
 
     fn poll(&self, after: u64) -> Reply {
-        let until = Instant::now() + POLL_HOLD;
+        let deadline = Instant::now() + POLL_TIMEOUT;
         let mut state = self.lock();
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if state.version != after || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if state.version != after || remaining.is_zero() {
                 return Reply::new(200, list(&state, after).to_string());
             }
-            let (next, _) =
-                self.shared.1.wait_timeout(state, left).expect("no thread panics with the lock");
+            let (next, _) = self
+                .shared
+                .1
+                .wait_timeout(state, remaining)
+                .expect("no thread panics while holding the lock");
             state = next;
         }
     }
@@ -186,8 +205,8 @@
     json!({ "version": state.version, "started": state.started, "tasks": tasks })
 }
 
-/// How long a program runs and its exit code; none for one that runs until it is stopped.
-fn program(command: &str) -> Option<(Duration, i64)> {
+/// Run time and exit code of a command's program; `None` if it runs until it is stopped.
+fn parse_program(command: &str) -> Option<(Duration, i64)> {
     match command.split_once(' ') {
         Some(("sleep", time)) => {
             let millis = time.strip_suffix("ms").and_then(|number| number.parse().ok());
