--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -1,25 +1,26 @@
-//! Plays seeds of the soak against the release build and prints what was broken.
+//! Runs the soak on a range of seeds, by default against the release build, and prints the promises
+//! that were broken.
 
 use std::{env, path::PathBuf, process};
 
 use sapphire_soak::{conditions::Conditions, soak, trouble::Trouble};
 
-/// Runs the real programs under faults from outside, a seed after the other.
+/// Run entries and agents as processes under injected faults, one seed after the other.
 #[derive(argh::FromArgs)]
 struct Args {
     /// first seed
     #[argh(option, default = "1")]
     first: u64,
-    /// seeds
+    /// number of seeds
     #[argh(option, default = "10")]
     seeds: u64,
-    /// jobs a seed
+    /// jobs per seed
     #[argh(option, default = "60")]
     jobs: u32,
-    /// faults a seed
+    /// faults per seed
     #[argh(option, default = "8")]
     faults: u32,
-    /// the daemon
+    /// path of the program sapphired
     #[argh(option, default = "PathBuf::from(\"target/release/sapphired\")")]
     program: PathBuf,
 }
--- a/crates/soak/src/conditions.rs
+++ b/crates/soak/src/conditions.rs
@@ -1,18 +1,18 @@
-//! What the store is like, and the links that lead to it.
+//! Conditions of the platform's store and of the links to it.
 
 use std::time::Duration;
 
 /// Longest time for which the platform's store holds a watch.
-const LONGEST_WATCH: Duration = Duration::from_secs(30);
+const MAX_WATCH: Duration = Duration::from_secs(30);
 
-/// What the store is like, and the links that lead to it.
+/// Conditions of the platform's store and of the links to it.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
-    /// Routes of the configuration beside the one that is used.
+    /// Routes of the configuration that get no jobs; they only make the configuration larger.
     pub idle_routes: usize,
-    /// Bytes a second that each entry gets from the store; none for as many as it can take.
+    /// Bytes per second that each entry receives from the store at most; `None` for no limit.
     pub link: Option<u32>,
-    /// How long the store keeps its history; none for ever.
+    /// Time for which the store keeps its history of changes; `None` for ever.
     pub history: Option<Duration>,
     /// Longest time for which the store holds a watch.
     pub watch: Duration,
@@ -20,6 +20,6 @@
 
 impl Default for Conditions {
     fn default() -> Self {
-        Conditions { idle_routes: 0, link: None, history: None, watch: LONGEST_WATCH }
+        Conditions { idle_routes: 0, link: None, history: None, watch: MAX_WATCH }
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes: entries and agents of one small deployment on loopback.
+//! The processes under test: entries and agents of one small deployment on loopback.
 
 use std::{
     fs, io,
@@ -12,85 +12,95 @@
     unistd::Pid,
 };
 
-/// Entries of the deployment.
+/// Number of entries.
 pub(crate) const ENTRIES: u8 = 3;
-/// Agents of the deployment, each beside a minion.
+/// Number of agents, each with a minion of its own.
 pub(crate) const AGENTS: u8 = 5;
-const PORT: u16 = 17_900;
+/// Lowest port of each host.
+const BASE_PORT: u16 = 17_900;
 
-/// Addresses of one deployment; each has a loopback network of its own, so that several can run
-/// beside one another with the same ports.
+/// Addresses of one deployment. Each deployment has a loopback network of its own, so that several
+/// can run at the same time with the same ports.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Net(pub(crate) u8);
 
 impl Net {
-    fn at(self, host: u8, port: u16) -> SocketAddr {
-        SocketAddr::from((Ipv4Addr::new(127, 77, self.0, host), PORT + port))
+    fn address(self, host: u8, offset: u16) -> SocketAddr {
+        SocketAddr::from((Ipv4Addr::new(127, 77, self.0, host), BASE_PORT + offset))
     }
 
+    /// Address of the platform's store.
     pub(crate) fn store(self) -> SocketAddr {
-        self.at(1, 0)
+        self.address(1, 0)
     }
 
-    /// Where entries are told that the store is.
+    /// Address of the store in an entry's settings: a proxy before the store.
     pub(crate) fn store_proxy(self, entry: u8) -> SocketAddr {
-        self.at(20 + entry, 0)
+        self.address(20 + entry, 0)
     }
 
+    /// Address at which an entry serves callers.
     pub(crate) fn callers(self, entry: u8) -> SocketAddr {
-        self.at(20 + entry, 1)
+        self.address(20 + entry, 1)
     }
 
+    /// Address at which an entry serves its readiness check.
     pub(crate) fn ready(self, entry: u8) -> SocketAddr {
-        self.at(20 + entry, 2)
+        self.address(20 + entry, 2)
     }
 
-    pub(crate) fn inner(self, entry: u8) -> SocketAddr {
-        self.at(20 + entry, 3)
+    /// Address at which an entry serves the system's other processes.
+    pub(crate) fn internal(self, entry: u8) -> SocketAddr {
+        self.address(20 + entry, 3)
     }
 
-    /// Where the other processes are told that an entry is, if they reach it through a proxy. The
-    /// planner's own word, which follows, names `inner`: a process says where it listens.
-    pub(crate) fn inner_proxy(self, entry: u8) -> SocketAddr {
-        self.at(20 + entry, 4)
+    /// Address of an entry in the settings of the other processes, if there are proxies between
+    /// them. The leader announces its `internal` address, since a process announces where it
+    /// listens; what follows the announcement bypasses the proxy.
+    pub(crate) fn internal_proxy(self, entry: u8) -> SocketAddr {
+        self.address(20 + entry, 4)
     }
 
+    /// Address at which an agent's minion takes orders.
     pub(crate) fn minion(self, agent: u8) -> SocketAddr {
-        self.at(100 + agent, 0)
+        self.address(100 + agent, 0)
     }
 
-    pub(crate) fn beats(self, agent: u8) -> SocketAddr {
-        self.at(100 + agent, 1)
+    /// Address at which an agent receives the heartbeats of its minion.
+    pub(crate) fn heartbeats(self, agent: u8) -> SocketAddr {
+        self.address(100 + agent, 1)
     }
 
+    /// Address at which an agent serves the system's other processes.
     fn agent(self, agent: u8) -> SocketAddr {
-        self.at(100 + agent, 2)
+        self.address(100 + agent, 2)
     }
 }
 
-/// A process of the fleet.
+/// An entry or agent of the fleet, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Who {
+pub(crate) enum Node {
     Entry(u8),
     Agent(u8),
 }
 
 struct Process {
-    who: Who,
+    node: Node,
     child: Child,
 }
 
-/// All processes.
+/// All processes of a deployment; dropping it kills them.
 pub(crate) struct Fleet {
     net: Net,
     program: PathBuf,
     folder: PathBuf,
+    /// Whether processes reach the entries through proxies.
     has_proxies: bool,
     processes: Vec<Process>,
 }
 
 impl Fleet {
-    /// Starts all; `has_proxies` between them.
+    /// Starts all processes; with `has_proxies`, they reach the entries through proxies.
     pub(crate) fn start(
         net: Net,
         program: &Path,
@@ -104,15 +114,16 @@
             has_proxies,
             processes: Vec::new(),
         };
-        let entries = (0..ENTRIES).map(Who::Entry);
-        for who in entries.chain((0..AGENTS).map(Who::Agent)) {
-            fleet.launch(who)?;
+        let entries = (0..ENTRIES).map(Node::Entry);
+        for node in entries.chain((0..AGENTS).map(Node::Agent)) {
+            fleet.launch(node)?;
         }
         Ok(fleet)
     }
 
-    fn launch(&mut self, who: Who) -> io::Result<()> {
-        let (role, name, settings) = self.settings(who);
+    /// Writes the settings of a process and starts it; its output is appended to its log.
+    fn launch(&mut self, node: Node) -> io::Result<()> {
+        let (role, name, settings) = self.settings(node);
         let path = self.folder.join(format!("{name}.yaml"));
         fs::write(&path, settings)?;
         let log = fs::OpenOptions::new()
@@ -126,40 +137,41 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()?;
-        self.processes.push(Process { who, child });
+        self.processes.push(Process { node, child });
         Ok(())
     }
 
-    fn settings(&self, who: Who) -> (&'static str, String, String) {
+    /// Role, name and settings of a process.
+    fn settings(&self, node: Node) -> (&'static str, String, String) {
         let net = self.net;
-        let found = |entry: u8| match who {
-            Who::Entry(own) if own == entry => net.inner(entry),
-            _ if self.has_proxies => net.inner_proxy(entry),
-            _ => net.inner(entry),
+        let address_of = |entry: u8| match node {
+            Node::Entry(own) if own == entry => net.internal(entry),
+            _ if self.has_proxies => net.internal_proxy(entry),
+            _ => net.internal(entry),
         };
         let entries: Vec<String> =
-            (0..ENTRIES).map(|entry| format!("\"{}\"", found(entry))).collect();
+            (0..ENTRIES).map(|entry| format!("\"{}\"", address_of(entry))).collect();
         let entries = entries.join(", ");
-        match who {
-            Who::Entry(entry) => {
+        match node {
+            Node::Entry(entry) => {
                 let name = format!("e{entry}");
                 let text = format!(
                     "platform: kv\nname: {name}\nregion: r\nzone: z\naddress: \"{}\"\n\
                      callers: \"{}\"\nready: \"{}\"\nstore: \"{}\"\nentries: [{entries}]\n",
-                    net.inner(entry),
+                    net.internal(entry),
                     net.callers(entry),
                     net.ready(entry),
                     net.store_proxy(entry)
                 );
                 ("entry", name, text)
             }
-            Who::Agent(agent) => {
+            Node::Agent(agent) => {
                 let name = format!("a{agent}");
                 let text = format!(
                     "platform: kv\nname: {name}\nregion: r\nzone: z\naddress: \"{}\"\n\
                      minion: \"{}\"\ntasks: \"{}\"\nentries: [{entries}]\n",
                     net.agent(agent),
-                    net.beats(agent),
+                    net.heartbeats(agent),
                     net.minion(agent)
                 );
                 ("agent", name, text)
@@ -167,28 +179,28 @@
         }
     }
 
-    /// Sends a signal to a process of this fleet, by its id.
-    pub(crate) fn signal(&self, who: Who, signal: Signal) {
-        for process in self.processes.iter().filter(|process| process.who == who) {
+    /// Sends a signal to a process of this fleet, by its process id.
+    pub(crate) fn signal(&self, node: Node, signal: Signal) {
+        for process in self.processes.iter().filter(|process| process.node == node) {
             if let Ok(id) = i32::try_from(process.child.id()) {
-                // One that has just ended can't be signalled; it is started again below.
+                // Signalling a process that has just ended fails; `restart_ended` starts it again.
                 let _ = kill(Pid::from_raw(id), signal);
             }
         }
     }
 
-    /// Starts again whatever has ended.
+    /// Starts the processes again that have ended.
     pub(crate) fn restart_ended(&mut self) -> io::Result<()> {
         let mut ended = Vec::new();
         self.processes.retain_mut(|process| match process.child.try_wait() {
             Ok(None) => true,
             _ => {
-                ended.push(process.who);
+                ended.push(process.node);
                 false
             }
         });
-        for who in ended {
-            self.launch(who)?;
+        for node in ended {
+            self.launch(node)?;
         }
         Ok(())
     }
@@ -197,7 +209,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for process in &mut self.processes {
-            // One that has ended by itself needs no end; all are waited for.
+            // Killing a process that has ended by itself fails; each is waited for all the same.
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can be delayed, silenced, cut one way and reset.
+//! A TCP proxy on loopback whose connections can be delayed, silenced, cut one way and reset.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -11,42 +11,45 @@
     time::{Duration, Instant},
 };
 
-/// What the proxy does to what passes.
+/// What the proxy does with the bytes that it forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Nothing.
+    /// Forwards them at once.
     Pass,
-    /// Everything takes longer.
+    /// Forwards them later.
     Delay,
-    /// Nothing passes, and nobody is told.
+    /// Holds them back in both directions; connections stay open.
     Silence,
-    /// Connections are ended.
+    /// Closes the connection on which they arrive.
     Reset,
-    /// Nothing gets to the server.
+    /// Holds back what clients send.
     CutRequests,
-    /// Nothing comes back from the server.
+    /// Holds back what the server sends.
     CutAnswers,
 }
 
+/// Time by which [`Mode::Delay`] delays each chunk.
 const DELAY: Duration = Duration::from_millis(120);
-/// How often a silenced connection looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a connection whose bytes are held back checks the mode again.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Bytes that a limited link carries at a time.
-const SLICE: usize = 4 << 10;
+/// Largest chunk that is read and forwarded at a time, in bytes.
+const CHUNK_BYTES: usize = 4 << 10;
 
-/// A link that carries so many bytes a second, for all connections together.
+/// A link of limited rate, which all connections of a proxy share.
 struct Link {
+    /// Bytes per second.
     rate: u32,
+    /// When the link has carried all bytes that were sent over it so far.
     free_at: Mutex<Instant>,
 }
 
 impl Link {
-    /// Waits until the link has carried so many bytes more.
-    fn carry(&self, bytes: usize) {
+    /// Waits until the link has carried `bytes` more bytes.
+    fn transmit(&self, bytes: usize) {
         let time = Duration::from_secs_f64(bytes as f64 / f64::from(self.rate));
         let until = {
-            let mut free_at = self.free_at.lock().expect("no thread panics while it holds this");
+            let mut free_at = self.free_at.lock().expect("no thread panics while holding the lock");
             *free_at = (*free_at).max(Instant::now()) + time;
             *free_at
         };
@@ -54,14 +57,14 @@
     }
 }
 
-/// The proxy.
+/// A proxy for one server.
 pub(crate) struct Proxy {
     mode: Arc<AtomicU8>,
 }
 
 impl Proxy {
-    /// Listens at an address for a server at another one. Clients get so many bytes a second from
-    /// it, or as many as they can take.
+    /// Listens on `listen` and forwards connections to `server`. With a `rate`, clients together
+    /// receive at most that many bytes per second.
     pub(crate) fn start(
         listen: SocketAddr,
         server: SocketAddr,
@@ -81,7 +84,7 @@
                 for pair in pairs {
                     if let (Ok(from), Ok(to), link, cut) = pair {
                         let mode = shared.clone();
-                        thread::spawn(move || copy(from, to, &mode, link.as_deref(), cut));
+                        thread::spawn(move || forward(from, to, &mode, link.as_deref(), cut));
                     }
                 }
             }
@@ -89,29 +92,38 @@
         Ok(Proxy { mode })
     }
 
+    /// Sets the mode of all connections, present and future.
     pub(crate) fn set(&self, mode: Mode) {
         self.mode.store(mode as u8, Ordering::Relaxed);
     }
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream, mode: &AtomicU8, link: Option<&Link>, cut: Mode) {
-    let mut chunk = [0; SLICE];
-    let is = |wanted: Mode| mode.load(Ordering::Relaxed) == wanted as u8;
+/// Forwards one direction of a connection until it ends; `cut` is the mode that holds back this
+/// direction only.
+fn forward(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    mode: &AtomicU8,
+    link: Option<&Link>,
+    cut: Mode,
+) {
+    let mut chunk = [0; CHUNK_BYTES];
+    let is_mode = |wanted: Mode| mode.load(Ordering::Relaxed) == wanted as u8;
     while let Ok(count) = from.read(&mut chunk) {
-        while is(Mode::Silence) || is(cut) {
-            thread::sleep(LOOK);
+        while is_mode(Mode::Silence) || is_mode(cut) {
+            thread::sleep(CHECK_INTERVAL);
         }
-        if is(Mode::Delay) {
+        if is_mode(Mode::Delay) {
             thread::sleep(DELAY);
         }
         if let Some(link) = link {
-            link.carry(count);
+            link.transmit(count);
         }
-        if count == 0 || is(Mode::Reset) || to.write_all(&chunk[..count]).is_err() {
+        if count == 0 || is_mode(Mode::Reset) || to.write_all(&chunk[..count]).is_err() {
             break;
         }
     }
-    // The other direction notices; a socket that is closed already can't be shut down.
+    // This ends the other direction too. Shutting down a socket that is closed already fails.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,5 @@
-//! One seed: a load, faults, and the promises checked from what callers and minions see.
+//! The run of one seed: submits jobs, injects faults, and checks the promises that callers and
+//! minions can observe.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,72 +27,86 @@
 
 use crate::{
     conditions::Conditions,
-    fleet::{AGENTS, ENTRIES, Fleet, Net, Who},
+    fleet::{AGENTS, ENTRIES, Fleet, Net, Node},
     proxy::{Mode, Proxy},
     trouble::Trouble,
 };
 
 mod minions;
 
-/// How a seed is played.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The daemon.
+    /// Path of the program `sapphired`.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Folder for settings and logs; created if it doesn't exist.
     pub folder: PathBuf,
-    /// Seed of load and faults.
+    /// Seed of the jobs and faults.
     pub seed: u64,
-    /// Jobs.
+    /// Number of jobs.
     pub jobs: u32,
-    /// Faults.
+    /// Number of faults.
     pub faults: u32,
-    /// Loopback network of the deployment, 1 to 250.
+    /// Loopback network of the deployment: the third byte of its addresses. The example `soak` uses
+    /// 1 to 250, tests the numbers above, so that they can run at the same time.
     pub net: u8,
-    /// What the store is like.
+    /// Conditions of the store and of the links to it.
     pub conditions: Conditions,
-    /// Further trouble.
+    /// Optional kinds of faults and load.
     pub trouble: Trouble,
 }
 
-/// What a seed has shown.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Promises that were broken.
+    /// Promises that were broken, one text each.
     pub broken: Vec<String>,
-    /// Jobs that were accepted, and of these complete.
+    /// Number of jobs that were accepted.
     pub accepted: usize,
-    /// Jobs that were shown as complete.
+    /// Number of jobs that callers saw as ended. Failed and cancelled ones count too; each of them
+    /// is also a broken promise.
     pub complete: usize,
-    /// Faults, in order.
+    /// Faults in the order in which they were injected.
     pub faults: Vec<String>,
 }
 
-const TICK: Duration = Duration::from_millis(10);
-const BEAT: Duration = Duration::from_millis(400);
-const ASK: Duration = Duration::from_millis(150);
+/// Longest wait for network events before the next step.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between the heartbeats of a minion, and their timeout.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Time from a response to the caller's next request for the same job.
+const REQUEST_DELAY: Duration = Duration::from_millis(150);
+/// Timeout of a caller's request.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(3_000);
-const JOB_PAUSE: Duration = Duration::from_millis(90);
-const FAULT_PAUSE: Duration = Duration::from_millis(900);
-const LEAD_IN: Duration = Duration::from_millis(2_500);
-/// Time after the last fault within which every accepted job has to be complete.
-const FINISH: Duration = Duration::from_secs(30);
+/// Interval between the submissions of new jobs.
+const JOB_INTERVAL: Duration = Duration::from_millis(90);
+/// Interval between faults.
+const FAULT_INTERVAL: Duration = Duration::from_millis(900);
+/// Time from the start of the processes to the first job.
+const STARTUP_DELAY: Duration = Duration::from_millis(2_500);
+/// Time after the end of the last fault within which every accepted job has to be complete.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// What an outstanding HTTP call was made for; jobs are named by their id.
 #[derive(Debug)]
-enum Asked {
-    Submit(String),
-    Look(String),
-    Beat,
+enum Pending {
+    Submission(String),
+    Query(String),
+    Heartbeat,
 }
 
+/// A job as its caller knows it.
 #[derive(Default)]
 struct Job {
     tasks: u32,
     is_gang: bool,
-    next: Duration,
+    /// When the caller sends its next request.
+    next_request_at: Duration,
     is_accepted: bool,
     was_refused: bool,
+    /// The caller has seen that the job has ended.
     is_complete: bool,
+    /// Entry that the caller's next request goes to.
     entry: u8,
 }
 
@@ -99,37 +114,44 @@
     options: Options,
     hub: Hub,
     rng: Pcg32,
-    /// Draws what only some runs have, so that the others draw as they do without it.
-    extra: Pcg32,
+    /// Draws what only optional kinds of faults and load need, so that the draws of `rng` are the
+    /// same with and without them.
+    trouble_rng: Pcg32,
     store_listener: ListenerId,
     minion_listeners: BTreeMap<ListenerId, u8>,
     store: Store,
+    /// Watches of the store that wait for a change, and the time at which each is answered anyway.
     watches: Vec<(CallerId, Call, Duration)>,
-    holds: Vec<minions::Hold>,
-    /// Orders to carry out, and when.
-    late: Vec<(Duration, minions::Sent)>,
+    /// Long polls that wait for the end of a task.
+    long_polls: Vec<minions::LongPoll>,
+    /// Orders that are carried out late, and when.
+    late_orders: Vec<(Duration, minions::Received)>,
+    /// Share of the starts and stops that are late from `late_from` until `late_until`.
     late_share: f64,
     late_from: Duration,
     late_until: Duration,
-    /// End of the latest fault.
-    trouble_until: Duration,
-    /// Members of each run that have been there.
-    seen: BTreeMap<(Task, RunNumber), BTreeSet<u32>>,
+    /// Time at which all faults so far have ended.
+    faults_until: Duration,
+    /// Gang members that have been present in each run.
+    members_seen: BTreeMap<(Task, RunNumber), BTreeSet<u32>>,
     minions: Vec<Minion>,
+    /// Actual properties of tasks, by job and step.
     truth: BTreeMap<(String, u32), Truth>,
     jobs: BTreeMap<String, Job>,
-    asked: BTreeMap<CallId, Asked>,
-    done: BTreeMap<Task, Vec<minions::Done>>,
+    pending: BTreeMap<CallId, Pending>,
+    /// Runs that ended with `done`, by task.
+    completions: BTreeMap<Task, Vec<minions::Completion>>,
     log: fs::File,
     net: Net,
+    /// Number of the latest round of heartbeats.
     sequence: u64,
     outcome: Outcome,
 }
 
-/// Plays a seed.
+/// Runs one seed to its end.
 ///
 /// # Errors
-/// When processes, files or sockets are refused by the system.
+/// Returns an error if the system refuses to create a process, file or socket.
 pub fn run(options: Options) -> io::Result<Outcome> {
     let (net, conditions) = (Net(options.net), options.conditions);
     fs::create_dir_all(&options.folder)?;
@@ -150,133 +172,144 @@
     let soak = Soak {
         hub,
         rng: Pcg32::seed_from_u64(options.seed),
-        extra: Pcg32::seed_from_u64(options.seed ^ 0x1a7e),
+        trouble_rng: Pcg32::seed_from_u64(options.seed ^ 0x1a7e),
         store_listener,
         minion_listeners,
         store,
         watches: Vec::new(),
-        holds: Vec::new(),
-        late: Vec::new(),
+        long_polls: Vec::new(),
+        late_orders: Vec::new(),
         late_share: 0.0,
         late_from: Duration::MAX,
         late_until: Duration::ZERO,
-        trouble_until: Duration::ZERO,
-        seen: BTreeMap::new(),
+        faults_until: Duration::ZERO,
+        members_seen: BTreeMap::new(),
         minions,
         truth: BTreeMap::new(),
         jobs: BTreeMap::new(),
-        asked: BTreeMap::new(),
-        done: BTreeMap::new(),
+        pending: BTreeMap::new(),
+        completions: BTreeMap::new(),
         log,
         net,
         sequence: 0,
         outcome: Outcome::default(),
         options,
     };
-    soak.play(&proxies)
+    soak.run(&proxies)
 }
 
-/// Proxies before the store and the entries, one an entry each.
+/// Proxies that can be made faulty: for each entry one before the store, and one before the entry's
+/// internal address if the links between processes are to be faulty too.
 struct Proxies {
     store: Vec<Proxy>,
-    inner: Vec<Proxy>,
+    internal: Vec<Proxy>,
 }
 
 impl Proxies {
     fn start(net: Net, options: &Options) -> io::Result<Self> {
         let link = options.conditions.link;
         let store = |entry| Proxy::start(net.store_proxy(entry), net.store(), link);
-        let inner = |entry| Proxy::start(net.inner_proxy(entry), net.inner(entry), None);
-        let inner_count = if options.trouble.links { ENTRIES } else { 0 };
+        let internal = |entry| Proxy::start(net.internal_proxy(entry), net.internal(entry), None);
+        let internal_count = if options.trouble.links { ENTRIES } else { 0 };
         Ok(Proxies {
             store: (0..ENTRIES).map(store).collect::<io::Result<_>>()?,
-            inner: (0..inner_count).map(inner).collect::<io::Result<_>>()?,
+            internal: (0..internal_count).map(internal).collect::<io::Result<_>>()?,
         })
     }
 }
 
-/// How a fault is undone.
+/// How the effect of a fault is ended. Killed, terminated and crashed processes need nothing; they
+/// get `Store`, which at most ends another fault of that proxy.
 #[derive(Clone, Copy, Debug)]
 enum Undo {
-    Resume(Who),
+    /// The paused process is resumed.
+    Resume(Node),
+    /// The entry's proxy before the store forwards everything again.
     Store(u8),
-    Inner(u8),
+    /// The entry's proxy before its internal address forwards everything again.
+    Link(u8),
 }
 
 impl Soak {
-    fn play(mut self, proxies: &Proxies) -> io::Result<Outcome> {
+    /// Runs until every accepted job is complete after the last fault, or time is up.
+    fn run(mut self, proxies: &Proxies) -> io::Result<Outcome> {
         let program = self.options.program.clone();
         let folder = self.options.folder.clone();
         let links = self.options.trouble.links;
         let mut fleet = Fleet::start(self.net, Path::new(&program), &folder, links)?;
         let start = clock::now();
-        let (mut next_job, mut next_fault) = (start + LEAD_IN, start + LEAD_IN + FAULT_PAUSE);
+        let (mut next_job, mut next_fault) =
+            (start + STARTUP_DELAY, start + STARTUP_DELAY + FAULT_INTERVAL);
         let (mut jobs, mut faults) = (self.options.jobs, self.options.faults);
-        let (mut next_beat, mut last) = (start, start);
-        self.draw_late(start);
-        let mut heal: Vec<(Duration, Undo)> = Vec::new();
+        let (mut next_heartbeat, mut last) = (start, start);
+        self.draw_late_orders(start);
+        let mut undos: Vec<(Duration, Undo)> = Vec::new();
         let mut quiet_since = None;
         loop {
-            self.hub.poll(TICK)?;
+            self.hub.poll(POLL_INTERVAL)?;
             let now = clock::now();
-            self.lapse(now);
+            self.expire_leases(now);
             while let Some(event) = self.hub.next_event() {
-                self.event(now, event);
+                self.handle_event(now, event);
             }
-            self.step_watches(now);
-            self.step_minions(now, now.saturating_sub(last));
+            self.answer_watches(now);
+            self.advance_minions(now, now.saturating_sub(last));
             last = now;
-            if now >= next_beat {
-                next_beat = now + BEAT;
-                self.beat();
+            if now >= next_heartbeat {
+                next_heartbeat = now + HEARTBEAT_INTERVAL;
+                self.send_heartbeats();
             }
             if jobs > 0 && now >= next_job {
                 jobs -= 1;
-                next_job = now + JOB_PAUSE;
-                self.new_job(now);
+                next_job = now + JOB_INTERVAL;
+                self.add_job(now);
             }
             if faults > 0 && now >= next_fault {
                 faults -= 1;
-                next_fault = now + FAULT_PAUSE;
-                heal.push(self.fault(now, &fleet, proxies));
+                next_fault = now + FAULT_INTERVAL;
+                undos.push(self.inject_fault(now, &fleet, proxies));
             }
-            heal.retain(|(at, undo)| {
+            undos.retain(|(at, undo)| {
                 if now >= *at {
                     match undo {
-                        Undo::Resume(who) => fleet.signal(*who, Signal::SIGCONT),
+                        Undo::Resume(node) => fleet.signal(*node, Signal::SIGCONT),
                         Undo::Store(entry) => proxies.store[usize::from(*entry)].set(Mode::Pass),
-                        Undo::Inner(entry) => proxies.inner[usize::from(*entry)].set(Mode::Pass),
+                        Undo::Link(entry) => proxies.internal[usize::from(*entry)].set(Mode::Pass),
                     }
                 }
                 now < *at
             });
             fleet.restart_ended()?;
-            self.ask(now);
-            let is_late = now < self.late_until || !self.late.is_empty();
-            if jobs == 0 && faults == 0 && heal.is_empty() && !is_late {
+            self.send_requests(now);
+            let has_late_orders = now < self.late_until || !self.late_orders.is_empty();
+            if jobs == 0 && faults == 0 && undos.is_empty() && !has_late_orders {
                 let since = *quiet_since.get_or_insert(now);
                 let waiting = |job: &Job| job.is_accepted && !job.is_complete;
                 let is_over = !self.jobs.values().any(waiting);
-                if is_over || now >= since + FINISH {
+                if is_over || now >= since + COMPLETION_TIMEOUT {
                     return Ok(self.finish());
                 }
             }
         }
     }
 
-    /// Draws when orders are late, and how many of them.
-    fn draw_late(&mut self, start: Duration) {
+    /// Draws the period in which orders are late, and their share.
+    fn draw_late_orders(&mut self, start: Duration) {
         if self.options.trouble.late_orders {
-            self.late_share = self.extra.random_range(0.0..0.6);
-            let wait = Duration::from_millis(self.extra.random_range(0..2_000));
-            let length = Duration::from_millis(self.extra.random_range(3_000..8_000));
-            self.late_from = start + LEAD_IN + wait;
+            self.late_share = self.trouble_rng.random_range(0.0..0.6);
+            let wait = Duration::from_millis(self.trouble_rng.random_range(0..2_000));
+            let length = Duration::from_millis(self.trouble_rng.random_range(3_000..8_000));
+            self.late_from = start + STARTUP_DELAY + wait;
             self.late_until = self.late_from + length;
-            self.trouble_until = self.late_until;
-            self.write(&format!("{:.2} of the orders late for {length:?}", self.late_share));
+            self.faults_until = self.late_until;
+            self.write_log(&format!(
+                "{:.2} of the starts and stops are late for {length:?}",
+                self.late_share
+            ));
         }
     }
 
+    /// Checks that no accepted job is left over and counts the jobs.
     fn finish(mut self) -> Outcome {
         for (id, job) in &self.jobs {
             if job.is_accepted && !job.is_complete {
@@ -288,29 +321,29 @@
         self.outcome
     }
 
-    fn event(&mut self, now: Duration, event: Event) {
+    fn handle_event(&mut self, now: Duration, event: Event) {
         match event {
             Event::Request { caller, listener, request } if listener == self.store_listener => {
-                self.store_request(now, caller, &request);
+                self.handle_store_request(now, caller, &request);
             }
             Event::Request { caller, listener, request } => {
                 if let Some(agent) = self.minion_listeners.get(&listener).copied() {
-                    self.minion_request(now, caller, agent, &request);
+                    self.handle_minion_request(now, caller, agent, &request);
                 }
             }
             Event::Left(caller) => {
                 self.watches.retain(|(other, ..)| *other != caller);
-                self.holds.retain(|hold| hold.caller != caller);
+                self.long_polls.retain(|poll| poll.caller != caller);
             }
             Event::NotAccepted { kind, .. } => eprintln!("a connection was not accepted: {kind}"),
             Event::Answer { call, result } => {
-                let asked = self.asked.remove(&call);
-                self.answered(now, asked, result.ok().as_ref());
+                let pending = self.pending.remove(&call);
+                self.handle_answer(now, pending, result.ok().as_ref());
             }
         }
     }
 
-    fn store_request(&mut self, now: Duration, caller: CallerId, request: &Request) {
+    fn handle_store_request(&mut self, now: Duration, caller: CallerId, request: &Request) {
         let Some(call) = platform::store_call(request) else {
             self.hub.answer(caller, &Response::new(404, ""));
             return;
@@ -318,22 +351,22 @@
         match self.store.call(now, &call) {
             Some(reply) => self.hub.answer(caller, &platform::store_response(&call, &reply)),
             None => {
-                let until = match &call {
+                let deadline = match &call {
                     Call::WatchPrefix { wait, .. } => {
                         now + (*wait).min(self.options.conditions.watch)
                     }
                     _ => now,
                 };
-                self.watches.push((caller, call, until));
+                self.watches.push((caller, call, deadline));
             }
         }
     }
 
-    /// Answers watches that are due.
-    fn step_watches(&mut self, now: Duration) {
-        for (caller, call, until) in std::mem::take(&mut self.watches) {
+    /// Answers watches whose prefix has changed or whose time is up.
+    fn answer_watches(&mut self, now: Duration) {
+        for (caller, call, deadline) in std::mem::take(&mut self.watches) {
             let call = match call {
-                Call::WatchPrefix { prefix, after, .. } if now >= until => {
+                Call::WatchPrefix { prefix, after, .. } if now >= deadline => {
                     Call::WatchPrefix { prefix, after, wait: Duration::ZERO }
                 }
                 call => call,
@@ -342,44 +375,46 @@
                 Some(reply @ (Reply::Changes { .. } | Reply::HistoryGone)) => {
                     self.hub.answer(caller, &platform::store_response(&call, &reply));
                 }
-                _ => self.watches.push((caller, call, until)),
+                _ => self.watches.push((caller, call, deadline)),
             }
         }
     }
 
-    fn beat(&mut self) {
+    /// Sends a heartbeat of each minion to its agent.
+    fn send_heartbeats(&mut self) {
         self.sequence += 1;
         for agent in 0..AGENTS {
             let minion = &self.minions[usize::from(agent)];
             let address = self.net.minion(agent).to_string();
             let request = platform::beat(minion, &address, self.sequence);
-            let call = self.hub.call(self.net.beats(agent), &request, BEAT);
-            self.asked.insert(call, Asked::Beat);
+            let call = self.hub.call(self.net.heartbeats(agent), &request, HEARTBEAT_INTERVAL);
+            self.pending.insert(call, Pending::Heartbeat);
         }
     }
 
-    fn new_job(&mut self, now: Duration) {
+    /// Draws a job, which its caller submits at once.
+    fn add_job(&mut self, now: Duration) {
         let id = format!("{:016x}", self.jobs.len() as u64 + (self.options.seed << 32));
         let tasks = self.rng.random_range(1..4);
         let work = Duration::from_millis(self.rng.random_range(200..1_800));
-        let is_gang = self.options.trouble.gangs && tasks > 1 && self.extra.random_bool(0.5);
-        let truth = Soak::truth(work, if is_gang { tasks } else { 1 });
+        let is_gang = self.options.trouble.gangs && tasks > 1 && self.trouble_rng.random_bool(0.5);
+        let truth = Soak::task_truth(work, if is_gang { tasks } else { 1 });
         self.truth.insert((id.clone(), 0), truth);
         let entry = self.rng.random_range(0..ENTRIES);
-        self.jobs.insert(id, Job { tasks, is_gang, next: now, entry, ..Job::default() });
+        self.jobs.insert(id, Job { tasks, is_gang, next_request_at: now, entry, ..Job::default() });
     }
 
     /// Sends the callers' requests that are due.
-    fn ask(&mut self, now: Duration) {
+    fn send_requests(&mut self, now: Duration) {
         let due: Vec<String> = (self.jobs.iter())
-            .filter(|(_, job)| !job.is_complete && now >= job.next)
+            .filter(|(_, job)| !job.is_complete && now >= job.next_request_at)
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            job.next = now + CALLER_TIMEOUT * 2;
-            let (request, asked) = if job.is_accepted {
-                (Request::new("GET", &format!("/q/{id}"), ""), Asked::Look(id))
+            job.next_request_at = now + CALLER_TIMEOUT * 2;
+            let (request, pending) = if job.is_accepted {
+                (Request::new("GET", &format!("/q/{id}"), ""), Pending::Query(id))
             } else {
                 let mut step = json!({
                     "count": job.tasks, "cpu": 1_000, "mem_mb": 1_000, "gpu": 1,
@@ -390,32 +425,38 @@
                 }
                 let body = json!({ "spec": "soak", "steps": [step] });
                 let request = Request::new("POST", &format!("/q/{id}"), body.to_string());
-                (request, Asked::Submit(id))
+                (request, Pending::Submission(id))
             };
             let request = request.with("Host", "soak.example").with("X-Key", "k");
             let call = self.hub.call(self.net.callers(job.entry), &request, CALLER_TIMEOUT);
-            self.asked.insert(call, asked);
+            self.pending.insert(call, pending);
         }
     }
 
-    fn answered(&mut self, now: Duration, asked: Option<Asked>, response: Option<&Response>) {
-        let (Some(Asked::Submit(id) | Asked::Look(id)), is_look) =
-            (asked.as_ref(), matches!(asked, Some(Asked::Look(_))))
+    /// Handles the response to a caller's request; `None` if there was none.
+    fn handle_answer(
+        &mut self,
+        now: Duration,
+        pending: Option<Pending>,
+        response: Option<&Response>,
+    ) {
+        let (Some(Pending::Submission(id) | Pending::Query(id)), is_query) =
+            (pending.as_ref(), matches!(pending, Some(Pending::Query(_))))
         else {
             return;
         };
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.next = now + ASK;
+        job.next_request_at = now + REQUEST_DELAY;
         let status = response.map_or(0, |response| response.status);
         if status != 200 {
             job.entry = (job.entry + 1) % ENTRIES;
-            job.was_refused |= !is_look && matches!(status, 429 | 503);
-            if is_look && status == 410 {
+            job.was_refused |= !is_query && matches!(status, 429 | 503);
+            if is_query && status == 410 {
                 self.outcome.broken.push(format!("{id} was accepted and is said not to exist"));
             }
             return;
         }
-        if !is_look {
+        if !is_query {
             job.is_accepted = true;
             return;
         }
@@ -435,21 +476,26 @@
         }
     }
 
-    /// Causes a fault; returns when and how it is to be undone.
-    fn fault(&mut self, now: Duration, fleet: &Fleet, proxies: &Proxies) -> (Duration, Undo) {
+    /// Draws and injects a fault; returns when and how its effect is ended.
+    fn inject_fault(
+        &mut self,
+        now: Duration,
+        fleet: &Fleet,
+        proxies: &Proxies,
+    ) -> (Duration, Undo) {
         let entry = self.rng.random_range(0..ENTRIES);
         let agent = self.rng.random_range(0..AGENTS);
         let time = Duration::from_millis(self.rng.random_range(300..2_600));
-        let who = if self.rng.random_bool(0.5) { Who::Entry(entry) } else { Who::Agent(agent) };
+        let node = if self.rng.random_bool(0.5) { Node::Entry(entry) } else { Node::Agent(agent) };
         let kind = self.rng.random_range(0..7);
-        self.trouble_until = self.trouble_until.max(now + time);
-        if self.options.trouble.links && self.extra.random_bool(0.4) {
+        self.faults_until = self.faults_until.max(now + time);
+        if self.options.trouble.links && self.trouble_rng.random_bool(0.4) {
             let modes =
                 [Mode::Delay, Mode::Silence, Mode::Reset, Mode::CutRequests, Mode::CutAnswers];
-            let mode = modes[self.extra.random_range(0..modes.len())];
-            self.tell_fault(&format!("link {mode:?} {:?}", Who::Entry(entry)), time);
-            proxies.inner[usize::from(entry)].set(mode);
-            return (now + time, Undo::Inner(entry));
+            let mode = modes[self.trouble_rng.random_range(0..modes.len())];
+            self.record_fault(&format!("link {mode:?} {:?}", Node::Entry(entry)), time);
+            proxies.internal[usize::from(entry)].set(mode);
+            return (now + time, Undo::Link(entry));
         }
         let text = match kind {
             0 => "kill",
@@ -460,24 +506,24 @@
             5 => "store reset",
             _ => "minion crashes",
         };
-        self.tell_fault(&format!("{text} {who:?}"), time);
+        self.record_fault(&format!("{text} {node:?}"), time);
         let mode = |mode: Mode| proxies.store[usize::from(entry)].set(mode);
         match kind {
-            0 => fleet.signal(who, Signal::SIGKILL),
-            1 => fleet.signal(who, Signal::SIGTERM),
-            2 => fleet.signal(who, Signal::SIGSTOP),
+            0 => fleet.signal(node, Signal::SIGKILL),
+            1 => fleet.signal(node, Signal::SIGTERM),
+            2 => fleet.signal(node, Signal::SIGSTOP),
             3 => mode(Mode::Delay),
             4 => mode(Mode::Silence),
             5 => mode(Mode::Reset),
             _ => self.crash(agent),
         }
-        let undo = if kind == 2 { Undo::Resume(who) } else { Undo::Store(entry) };
+        let undo = if kind == 2 { Undo::Resume(node) } else { Undo::Store(entry) };
         (now + time, undo)
     }
 
-    fn tell_fault(&mut self, text: &str, time: Duration) {
+    fn record_fault(&mut self, text: &str, time: Duration) {
         let text = format!("{text} {} ms", time.as_millis());
-        self.write(&format!("fault: {text}"));
+        self.write_log(&format!("fault: {text}"));
         self.outcome.faults.push(text);
     }
 }
--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -1,4 +1,5 @@
-//! The minions' side: orders, some of them late, tasks that make progress, and what must hold.
+//! The simulated minions: carry out orders, some of them late, let tasks make progress, and check
+//! what must hold at the start and end of tasks.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,46 +24,47 @@
 use super::Soak;
 use crate::fleet::AGENTS;
 
-/// Time after which a member of a gang that waits for the others ends.
-const ALONE: Duration = Duration::from_secs(3);
-/// Time after the end of a fault in which it may still have effects.
-const NEAR: Duration = Duration::from_secs(5);
+/// Time for which a gang member waits for the others before it ends.
+const GANG_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after the end of a fault within which it may still have effects.
+const FAULT_AFTERMATH: Duration = Duration::from_secs(5);
 
-/// Milliseconds after which a late order is carried out.
-const LATE: std::ops::Range<u64> = 2_000..6_000;
+/// Delays of late orders, in milliseconds.
+const LATE_DELAY_MS: std::ops::Range<u64> = 2_000..6_000;
 
-/// An order to a minion, as it came.
+/// An order as a minion received it.
 #[derive(Clone, Debug)]
-pub(super) struct Sent {
+pub(super) struct Received {
     agent: u8,
     order: Order,
-    /// Life that it names.
-    life: String,
-    /// Start of the life that was there when it came.
+    /// Identifier that the minion must have to carry it out; empty if any minion may.
+    minion_id: String,
+    /// Start time of the incarnation that received it.
     born_ms: u64,
     at: Duration,
 }
 
-/// A call that waits for an end.
-pub(super) struct Hold {
+/// A long poll that waits for the end of a task.
+pub(super) struct LongPoll {
     pub(super) caller: CallerId,
-    sent: Sent,
-    until: Duration,
+    received: Received,
+    deadline: Duration,
 }
 
-/// An end that was `done`.
-pub(super) struct Done {
+/// A run of a task that ended with `done`.
+pub(super) struct Completion {
     agent: u8,
     born_ms: u64,
     number: RunNumber,
     at: Duration,
-    is_noted: bool,
-    /// Starts of the same task since.
+    /// The end was acknowledged to the minion.
+    is_acknowledged: bool,
+    /// Descriptions of the starts of the same task since.
     starts: Vec<String>,
 }
 
 impl Soak {
-    pub(super) fn minion_request(
+    pub(super) fn handle_minion_request(
         &mut self,
         now: Duration,
         caller: CallerId,
@@ -75,61 +77,66 @@
         };
         let minion = &self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms;
-        let sent = Sent { agent, order, life: platform::life(request), born_ms, at: now };
-        match &sent.order {
+        let received =
+            Received { agent, order, minion_id: platform::life(request), born_ms, at: now };
+        match &received.order {
             Order::LongPoll { wait, .. } if !wait.is_zero() && minion.ended.is_empty() => {
-                let until = now + *wait;
-                self.holds.push(Hold { caller, sent, until });
+                let deadline = now + *wait;
+                self.long_polls.push(LongPoll { caller, received, deadline });
                 return;
             }
             Order::LongPoll { .. } => {}
             Order::Start { .. } | Order::Stop { .. } => {
                 let is_due = now >= self.late_from && now < self.late_until;
-                if is_due && self.extra.random_bool(self.late_share) {
-                    let late = Duration::from_millis(self.extra.random_range(LATE));
-                    self.note(&sent, &format!("gets no answer, late by {}", late.as_millis()));
-                    self.trouble_until = self.trouble_until.max(now + late);
-                    self.late.push((now + late, sent));
+                if is_due && self.trouble_rng.random_bool(self.late_share) {
+                    let delay = Duration::from_millis(self.trouble_rng.random_range(LATE_DELAY_MS));
+                    self.log_order(
+                        &received,
+                        &format!("not answered, carried out {} ms later", delay.as_millis()),
+                    );
+                    self.faults_until = self.faults_until.max(now + delay);
+                    self.late_orders.push((now + delay, received));
                     return;
                 }
             }
         }
-        let response = self.carry_out(now, &sent);
+        let response = self.carry_out(now, &received);
         self.hub.answer(caller, &response);
     }
 
-    fn carry_out(&mut self, now: Duration, sent: &Sent) -> Response {
-        let agent = sent.agent;
+    /// Applies an order to its minion, checks the result and returns the response.
+    fn carry_out(&mut self, now: Duration, received: &Received) -> Response {
+        let agent = received.agent;
         let minion = &mut self.minions[usize::from(agent)];
-        if !sent.life.is_empty() && sent.life != minion.incarnation.id {
-            self.note(sent, "other life");
+        if !received.minion_id.is_empty() && received.minion_id != minion.incarnation.id {
+            self.log_order(received, "wrong instance");
             return Response::new(421, "");
         }
-        let run = match &sent.order {
+        let run = match &received.order {
             Order::Start { start, .. } => start.run.clone(),
             _ => None,
         };
         let run = run.map(|run| (Task::read(&run), run.run));
         let before = run.as_ref().and_then(|(task, _)| Some(minion.active.get(task)?.number));
-        let (response, is_done) = platform::obey(minion, now, &sent.order, &self.truth);
-        if !matches!(sent.order, Order::LongPoll { .. }) {
+        let (response, is_carried_out) = platform::obey(minion, now, &received.order, &self.truth);
+        if !matches!(received.order, Order::LongPoll { .. }) {
             let body = String::from_utf8_lossy(&response.body).into_owned();
-            self.note(sent, &format!("{} {body}", response.status));
+            self.log_order(received, &format!("{} {body}", response.status));
         }
-        if let (Some((task, number)), true) = (run, is_done)
+        if let (Some((task, number)), true) = (run, is_carried_out)
             && before != Some(number)
         {
-            self.check_start(sent, &task, number, before);
+            self.check_start(received, &task, number, before);
         }
         for ended in std::mem::take(&mut self.minions[usize::from(agent)].noted) {
-            self.check_noted(now, agent, &ended);
+            self.check_acknowledged(now, agent, &ended);
         }
         response
     }
 
-    /// Writes a line on an order.
-    fn note(&mut self, sent: &Sent, outcome: &str) {
-        let (verb, task, number, token) = match &sent.order {
+    /// Logs an order and its outcome.
+    fn log_order(&mut self, received: &Received, outcome: &str) {
+        let (verb, task, number, token) = match &received.order {
             Order::LongPoll { .. } => return,
             Order::Start { start, token, .. } => {
                 let run = start.run.clone().unwrap_or_default();
@@ -137,16 +144,16 @@
             }
             Order::Stop { task, number, token } => ("stop", task.clone(), *number, token),
         };
-        let Sent { agent, life, .. } = sent;
-        let age = sent.at;
-        self.write(&format!(
-            "m{agent} {verb} task={task} run={number} token={token} id={life} came at {age:?}: \
-             {outcome}"
+        let Received { agent, minion_id, .. } = received;
+        let at = received.at;
+        self.write_log(&format!(
+            "m{agent} {verb} task={task} run={number} token={token} id={minion_id} received at \
+             {at:?}: {outcome}"
         ));
     }
 
-    /// Writes a line on what the minions did.
-    pub(super) fn write(&mut self, text: &str) {
+    /// Writes a line to the minions' log.
+    pub(super) fn write_log(&mut self, text: &str) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = format!("{:.3} {text}", unix.as_secs_f64());
         if let Err(error) = writeln!(self.log, "{line}") {
@@ -154,28 +161,29 @@
         }
     }
 
+    /// Records a broken promise.
     fn break_promise(&mut self, text: String) {
-        self.write(&format!("promise broken: {text}"));
+        self.write_log(&format!("promise broken: {text}"));
         self.outcome.broken.push(text);
     }
 
-    /// What must hold whenever a minion starts a task; `before` is the run of the task that was
-    /// there already.
+    /// Checks what must hold when a minion starts a task; `before` is the run of the same task that
+    /// was active on the minion already.
     fn check_start(
         &mut self,
-        sent: &Sent,
+        received: &Received,
         task: &Task,
         number: RunNumber,
         before: Option<RunNumber>,
     ) {
-        let agent = usize::from(sent.agent);
+        let agent = usize::from(received.agent);
         let is_elsewhere = self
             .minions
             .iter()
             .enumerate()
             .any(|(other, minion)| other != agent && minion.active.contains_key(task));
-        let is_inherited = sent.born_ms != self.minions[agent].incarnation.born_ms;
-        let whence = if is_inherited { ", as an earlier life was told" } else { "" };
+        let is_inherited = received.born_ms != self.minions[agent].incarnation.born_ms;
+        let origin = if is_inherited { ", as an earlier life was told" } else { "" };
         let mut broken = Vec::new();
         if is_elsewhere || before.is_some() {
             broken.push("runs twice at once");
@@ -188,13 +196,13 @@
             }
             Some(_) => {}
         }
-        let start = format!("{task} run {number} starts on m{agent}{whence}");
-        let mut is_noted = false;
-        for done in self.done.get_mut(task).into_iter().flatten() {
-            is_noted |= done.is_noted;
-            done.starts.push(start.clone());
+        let start = format!("{task} run {number} starts on m{agent}{origin}");
+        let mut is_acknowledged = false;
+        for completion in self.completions.get_mut(task).into_iter().flatten() {
+            is_acknowledged |= completion.is_acknowledged;
+            completion.starts.push(start.clone());
         }
-        if is_noted {
+        if is_acknowledged {
             broken.push("starts after a run of it had ended done");
         }
         if std::mem::take(&mut self.minions[agent].overfilled) {
@@ -205,28 +213,31 @@
         }
     }
 
-    /// Takes note of an end, unless the minion's lease has lapsed since.
-    fn check_noted(&mut self, now: Duration, agent: u8, ended: &Ended) {
+    /// Records that the end of a run was acknowledged, unless the minion's lease has expired since
+    /// the end. The task must not have been started since, nor start again.
+    fn check_acknowledged(&mut self, now: Duration, agent: u8, ended: &Ended) {
         let Some(run) = ended.run.as_ref().filter(|_| ended.ending() == Ending::Done) else {
             return;
         };
         let (task, minion) = (Task::read(run), &self.minions[usize::from(agent)]);
         let (born_ms, lapsed) = (minion.incarnation.born_ms, minion.lapsed);
-        let is_meant = |done: &&mut Done| {
-            (done.agent, done.born_ms, done.number) == (agent, born_ms, run.run)
-                && lapsed.is_none_or(|lapsed| lapsed < done.at)
+        let is_same_run = |completion: &&mut Completion| {
+            (completion.agent, completion.born_ms, completion.number) == (agent, born_ms, run.run)
+                && lapsed.is_none_or(|lapsed| lapsed < completion.at)
         };
-        let Some(done) = self.done.get_mut(&task).into_iter().flatten().find(is_meant) else {
+        let Some(completion) =
+            self.completions.get_mut(&task).into_iter().flatten().find(is_same_run)
+        else {
             return;
         };
-        done.is_noted = true;
-        for text in std::mem::take(&mut done.starts) {
+        completion.is_acknowledged = true;
+        for text in std::mem::take(&mut completion.starts) {
             self.break_promise(format!("{text} after a run had ended done, noted at {now:?}"));
         }
     }
 
-    /// Ends what runs on minions whose lease has run out.
-    pub(super) fn lapse(&mut self, now: Duration) {
+    /// Ends the tasks on minions whose lease has expired.
+    pub(super) fn expire_leases(&mut self, now: Duration) {
         for agent in 0..usize::from(AGENTS) {
             let minion = &mut self.minions[agent];
             if now < minion.lease {
@@ -236,13 +247,13 @@
             let count = minion.active.len();
             minion.lapse(&self.truth);
             if count > 0 {
-                self.write(&format!("m{agent} lapsed, {count} tasks end"));
+                self.write_log(&format!("m{agent} lease expired, {count} tasks end"));
             }
         }
     }
 
-    /// Lets tasks make progress, carries out what is late and answers holds.
-    pub(super) fn step_minions(&mut self, now: Duration, time: Duration) {
+    /// Lets tasks make progress, carries out late orders that are due, and answers long polls.
+    pub(super) fn advance_minions(&mut self, now: Duration, elapsed: Duration) {
         let mut runs: BTreeMap<(Task, RunNumber), Vec<(usize, Task)>> = BTreeMap::new();
         for (agent, minion) in self.minions.iter().enumerate() {
             for (task, active) in &minion.active {
@@ -253,57 +264,61 @@
             }
         }
         for ((task, number), members) in runs {
-            self.step_run(now, time, (&task, number), &members);
+            self.advance_run(now, elapsed, (&task, number), &members);
         }
         let (due, later) =
-            std::mem::take(&mut self.late).into_iter().partition(|(at, _)| now >= *at);
-        self.late = later;
-        let mut due: Vec<(Duration, Sent)> = due;
+            std::mem::take(&mut self.late_orders).into_iter().partition(|(at, _)| now >= *at);
+        self.late_orders = later;
+        let mut due: Vec<(Duration, Received)> = due;
         due.sort_by_key(|(at, _)| *at);
-        for (_, sent) in due {
-            // Nobody is told: the answer was given up.
-            let _ = self.carry_out(now, &sent);
+        for (_, received) in due {
+            // The response is dropped, since late orders are not answered.
+            let _ = self.carry_out(now, &received);
         }
-        for hold in std::mem::take(&mut self.holds) {
-            if now >= hold.until || !self.minions[usize::from(hold.sent.agent)].ended.is_empty() {
-                let response = self.carry_out(now, &hold.sent);
-                self.hub.answer(hold.caller, &response);
+        for poll in std::mem::take(&mut self.long_polls) {
+            if now >= poll.deadline
+                || !self.minions[usize::from(poll.received.agent)].ended.is_empty()
+            {
+                let response = self.carry_out(now, &poll.received);
+                self.hub.answer(poll.caller, &response);
             } else {
-                self.holds.push(hold);
+                self.long_polls.push(poll);
             }
         }
     }
 
-    /// Lets a run make progress: one task, or the members of a gang that are there.
-    fn step_run(
+    /// Lets a run make progress: a single task, or the gang members that are present.
+    fn advance_run(
         &mut self,
         now: Duration,
-        time: Duration,
+        elapsed: Duration,
         (task, number): (&Task, RunNumber),
         members: &[(usize, Task)],
     ) {
         let Some(truth) = self.truth.get(&(task.job.clone(), task.step)).cloned() else { return };
-        let active = |(at, task): &(usize, Task)| &self.minions[*at].active[task];
+        let active = |(agent, task): &(usize, Task)| &self.minions[*agent].active[task];
         let present: BTreeSet<u32> = members.iter().map(|(_, task)| task.index).collect();
-        let is_whole = present.len() == truth.members as usize;
-        let seen = self.seen.entry((task.clone(), number)).or_default();
-        seen.extend(&present);
+        let is_complete = present.len() == truth.members as usize;
+        let members_seen = self.members_seen.entry((task.clone(), number)).or_default();
+        members_seen.extend(&present);
         let is_stopped =
-            members.iter().any(|it| active(it).stop_at.is_some_and(|stop| now >= stop));
-        let has_waited = |it: &(usize, Task)| now >= active(it).since + ALONE;
+            members.iter().any(|member| active(member).stop_at.is_some_and(|stop| now >= stop));
+        let has_waited = |member: &(usize, Task)| now >= active(member).since + GANG_TIMEOUT;
         let endings: Vec<Ending> = if is_stopped {
-            let is_asked = |it| active(it).stop_at.is_some();
-            let ending = |it| if is_asked(it) { Ending::Stopped } else { Ending::Broken };
+            let is_stop_requested = |member| active(member).stop_at.is_some();
+            let ending =
+                |member| if is_stop_requested(member) { Ending::Stopped } else { Ending::Broken };
             members.iter().map(ending).collect()
-        } else if seen.len() > present.len() {
+        } else if members_seen.len() > present.len() {
             vec![Ending::Broken; members.len()]
-        } else if is_whole || truth.members == 1 {
-            let done = members.iter().map(|it| active(it).done).max().unwrap_or_default() + time;
+        } else if is_complete || truth.members == 1 {
+            let done = members.iter().map(|member| active(member).done).max().unwrap_or_default()
+                + elapsed;
             let is_done = done >= truth.work;
-            for (at, task) in members {
-                let minion = &mut self.minions[*at];
+            for (agent, task) in members {
+                let minion = &mut self.minions[*agent];
                 if let Some(active) = minion.active.get_mut(task) {
-                    active.done += time;
+                    active.done += elapsed;
                 }
             }
             if !is_done {
@@ -311,60 +326,79 @@
             }
             vec![Ending::Done; members.len()]
         } else if members.iter().any(has_waited) {
-            let ending = |it| if has_waited(it) { Ending::Alone } else { Ending::Broken };
+            let ending = |member| if has_waited(member) { Ending::Alone } else { Ending::Broken };
             members.iter().map(ending).collect()
         } else {
             return;
         };
-        let since = members.iter().map(|it| self.minions[it.0].active[&it.1].since).min();
+        let since =
+            members.iter().map(|member| self.minions[member.0].active[&member.1].since).min();
         if endings.contains(&Ending::Alone)
-            && since.is_some_and(|since| since > self.trouble_until + NEAR)
+            && since.is_some_and(|since| since > self.faults_until + FAULT_AFTERMATH)
         {
             self.break_promise(format!("{task} run {number} ends alone and no fault was near"));
         }
-        for ((at, task), ending) in members.iter().zip(endings) {
-            self.end(now, *at, task, ending, &truth);
+        for ((agent, task), ending) in members.iter().zip(endings) {
+            self.end_task(now, *agent, task, ending, &truth);
         }
     }
 
-    fn end(&mut self, now: Duration, agent: usize, task: &Task, ending: Ending, truth: &Truth) {
+    /// Ends a task on its minion; an end with `done` is recorded for later checks.
+    fn end_task(
+        &mut self,
+        now: Duration,
+        agent: usize,
+        task: &Task,
+        ending: Ending,
+        truth: &Truth,
+    ) {
         let minion = &mut self.minions[agent];
         let Some(number) = minion.active.get(task).map(|active| active.number) else { return };
         minion.end(task, ending, Some(truth));
         let born_ms = minion.incarnation.born_ms;
-        self.write(&format!("m{agent} end task={task} run={number} {}", ending.as_str_name()));
+        self.write_log(&format!("m{agent} end task={task} run={number} {}", ending.as_str_name()));
         if ending == Ending::Done {
             let (at, starts) = (now, Vec::new());
-            let done = Done { agent: agent as u8, born_ms, number, at, is_noted: false, starts };
-            self.done.entry(task.clone()).or_default().push(done);
+            let completion = Completion {
+                agent: agent as u8,
+                born_ms,
+                number,
+                at,
+                is_acknowledged: false,
+                starts,
+            };
+            self.completions.entry(task.clone()).or_default().push(completion);
         }
     }
 
-    /// What must hold when a job is shown as complete: each of its tasks has ended `done`.
+    /// Checks what must hold when a job is reported as complete: each of its tasks has ended with
+    /// `done`.
     pub(super) fn check_complete(&mut self, id: &str, tasks: u32) {
-        let count = self.done.keys().filter(|task| task.job == id).count();
+        let count = self.completions.keys().filter(|task| task.job == id).count();
         if count < tasks as usize {
             self.break_promise(format!("{id} is shown as complete, {count} of {tasks} are done"));
         }
     }
 
-    /// Ends a minion's life without a word and begins another, under the same id or a new one.
+    /// Crashes a minion and starts its next incarnation, which has the same identifier or, if there
+    /// are late orders, possibly a new one.
     pub(super) fn crash(&mut self, agent: u8) {
         let minion = &mut self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms + 1;
         let mut incarnation = platform::incarnation(agent, born_ms);
-        if self.options.trouble.late_orders && self.extra.random_bool(0.5) {
+        if self.options.trouble.late_orders && self.trouble_rng.random_bool(0.5) {
             incarnation.id = format!("m{agent}-{born_ms}");
         } else {
             incarnation.id.clone_from(&minion.incarnation.id);
         }
         let id = incarnation.id.clone();
         *minion = Minion::new(incarnation);
-        self.write(&format!("m{agent} crashed, is id={id} born_ms={born_ms} now"));
+        self.write_log(&format!("m{agent} crashed and restarted as id={id} born_ms={born_ms}"));
     }
 
-    /// What a task of a job is, whose tasks are so many members of a gang.
-    pub(super) fn truth(work: Duration, members: u32) -> Truth {
+    /// Actual properties of a job's tasks: their run time, and the members of their gang (1 if they
+    /// are none).
+    pub(super) fn task_truth(work: Duration, members: u32) -> Truth {
         Truth {
             work,
             always_fails: false,
--- a/crates/soak/src/trouble.rs
+++ b/crates/soak/src/trouble.rs
@@ -1,10 +1,10 @@
-//! Kinds of trouble beside the faults that every seed has.
+//! Optional kinds of faults and load, in addition to the faults of every seed.
 
-/// Kinds of trouble beside the faults that every seed has.
+/// Optional kinds of faults and load, in addition to the faults of every seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Trouble {
-    /// For part of the run, minions leave a share of starts and stops without an answer and carry
-    /// them out seconds later; a minion that crashes may come back under another id.
+    /// For part of the run, minions don't answer a share of the starts and stops and carry them
+    /// out seconds later; a minion that crashes may restart under another identifier.
     pub late_orders: bool,
     /// Some jobs are gangs.
     pub gangs: bool,
@@ -13,6 +13,6 @@
 }
 
 impl Trouble {
-    /// All kinds.
+    /// All kinds enabled.
     pub const ALL: Trouble = Trouble { late_orders: true, gangs: true, links: true };
 }
