--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -115,8 +115,8 @@
     Response::new(status, body.to_string())
 }
 
-/// Stores the platform's configuration: the queue `q`, which gets the jobs, `idle_routes` queues that
-/// get none, and one organisation.
+/// Stores the platform's configuration: the queue `q`, which gets the jobs, `idle_routes` queues
+/// that get none, and one organisation.
 pub fn configure(store: &mut Store, now: Duration, idle_routes: usize) {
     let route = |name: &str| {
         json!({
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,8 +1,8 @@
 //! Stand-in of a worker, which runs tasks under leases.
 //!
-//! The command of a task says what its program does: `sleep 200ms` exits with code 0 after that time,
-//! `exit 3` exits at once with that code, and any other command, such as `run`, runs until it is
-//! stopped.
+//! The command of a task says what its program does: `sleep 200ms` exits with code 0 after that
+//! time, `exit 3` exits at once with that code, and any other command, such as `run`, runs until
+//! it is stopped.
 
 use std::{
     collections::BTreeMap,
--- a/crates/trace/examples/policy.rs
+++ b/crates/trace/examples/policy.rs
@@ -1,4 +1,4 @@
-//! The policy against its baselines, over both deployments' load, several seeds in one run:
+//! Compares the policy with its baselines over the load of both deployments, with several seeds:
 //! `cargo run --release --package sapphire-trace --example policy`.
 
 use std::time::Duration;
@@ -11,22 +11,23 @@
     run::{self, Policy},
 };
 
-/// Prints mean and standard deviation over the seeds, and the ratio to each baseline.
+/// Print the mean and standard deviation of each figure over the seeds, for the baselines and for
+/// the policy (`pass`).
 #[derive(argh::FromArgs)]
 struct Args {
     /// first seed
     #[argh(option, default = "1")]
     first: u64,
-    /// seeds
+    /// number of seeds
     #[argh(option, default = "10")]
     seeds: u64,
-    /// hours of arrivals
+    /// hours over which jobs arrive
     #[argh(option, default = "48")]
     hours: u64,
-    /// load, as a share of the accelerators
+    /// load, as a share of the accelerator time of the fleet
     #[argh(option, default = "0.8")]
     load: f64,
-    /// also each mechanism switched off
+    /// also run the policy with each of its mechanisms switched off
     #[argh(switch)]
     off: bool,
 }
@@ -35,7 +36,7 @@
     let time = Duration::from_secs(args.hours * 3_600);
     (args.first..args.first + args.seeds)
         .map(|seed| {
-            let load = load::make(deployment, seed, time, args.load);
+            let load = load::generate(deployment, seed, time, args.load);
             run::run(deployment, policy, &load, seed)
         })
         .collect()
@@ -55,7 +56,7 @@
         print!("{name:28}");
         for runs in &all {
             let numbers: Vec<f64> = runs.iter().map(|run| run.rows()[index].1).collect();
-            let (mean, deviation) = figures::spread(&numbers);
+            let (mean, deviation) = figures::mean_and_deviation(&numbers);
             print!("{:>24}", format!("{mean:.3} ±{deviation:.3}"));
         }
         println!();
--- a/crates/trace/examples/scale.rs
+++ b/crates/trace/examples/scale.rs
@@ -1,4 +1,4 @@
-//! Cost of decisions against the size of the fleet that one planner sees:
+//! Measures the cost of placement against the number of workers that one planner sees:
 //! `cargo run --release --package sapphire-trace --example scale`.
 
 use std::time::Instant;
@@ -9,7 +9,9 @@
 use sapphire_trace::{deployment, figures};
 use sapphire_wire::{Adjacency, Shape};
 
+/// Numbers of workers.
 const SIZES: [usize; 6] = [10, 100, 300, 1_000, 10_000, 38_000];
+/// Placements that are timed for each size and shape.
 const DECISIONS: usize = 200;
 
 /// Resident memory of this process, in bytes.
@@ -20,22 +22,23 @@
     kilobytes.unwrap_or(0) * 1_024
 }
 
-/// Takes about 85% of the accelerators, in small pieces.
+/// Allocates about 89% of the accelerators: all 8 of four in five workers, and fewer on the others.
 fn fill(fleet: &mut Fleet, rng: &mut Pcg64) {
     let names: Vec<String> = fleet.workers.keys().cloned().collect();
     for name in names {
-        let taken = if rng.random::<f64>() < 0.8 { 8 } else { rng.random_range(0..8) };
+        let allocated = if rng.random::<f64>() < 0.8 { 8 } else { rng.random_range(0..8) };
         let adjacency = Adjacency::Worker as i32;
-        let shape = Shape { accelerators: taken, tasks: 1, adjacency, ..Shape::default() };
+        let shape = Shape { accelerators: allocated, tasks: 1, adjacency, ..Shape::default() };
         fleet.allocate(&name, "o", &shape, 1, false);
     }
 }
 
-fn measure(fleet: &Fleet, shape: &Shape, spare: &Shape) -> (f64, f64) {
+/// Median and 99th percentile of the time of a placement, in microseconds.
+fn measure(fleet: &Fleet, shape: &Shape, block_shape: &Shape) -> (f64, f64) {
     let mut micros: Vec<f64> = (0..DECISIONS)
         .map(|_| {
             let borrowing = place::Options::borrowing("o", shape);
-            let options = place::Options { block_shape: Some(spare), ..borrowing };
+            let options = place::Options { block_shape: Some(block_shape), ..borrowing };
             let begin = Instant::now();
             std::hint::black_box(place::place(fleet, &options));
             begin.elapsed().as_secs_f64() * 1e6
@@ -58,8 +61,8 @@
             let adjacency_code = adjacency as i32;
             let shape =
                 Shape { accelerators: 1, tasks, adjacency: adjacency_code, ..Shape::default() };
-            let spare = Shape { accelerators: 8, tasks: 2, adjacency: 1, ..Shape::default() };
-            let (p50, p99) = measure(&fleet, &shape, &spare);
+            let block_shape = Shape { accelerators: 8, tasks: 2, adjacency: 1, ..Shape::default() };
+            let (p50, p99) = measure(&fleet, &shape, &block_shape);
             println!("{size:7}  {tasks:4}  {adjacency:?}  {p50:.0}  {p99:.0}  {bytes}");
         }
     }
--- a/crates/trace/src/baseline.rs
+++ b/crates/trace/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: first-fit in arrival order, the same with backfill, static partitions.
+//! Baseline policies: first-fit in the order of arrival, the same with backfill, static partitions.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,15 +8,18 @@
 };
 use sapphire_wire::{Adjacency, Job, Shape, id};
 
-/// Takes the first group of workers, in the order of names, that has room for the whole gang.
+/// Assigns a gang to the first group of workers with enough free accelerators for all its tasks.
+///
+/// The gang's adjacency decides whether a group is a worker, a rack or a zone. Workers are
+/// considered in the order of their names, and only those that `is_eligible` accepts.
 pub fn first_fit(
     fleet: &Fleet,
     shape: &Shape,
-    is_wanted: impl Fn(&str) -> bool,
+    is_eligible: impl Fn(&str) -> bool,
 ) -> Option<Outcome> {
     let mut groups: BTreeMap<&str, Vec<Assignment>> = BTreeMap::new();
     for (name, worker) in &fleet.workers {
-        if !is_wanted(name) || !worker.is_open {
+        if !is_eligible(name) || !worker.is_open {
             continue;
         }
         let group = match shape.adjacency() {
@@ -24,15 +27,15 @@
             Adjacency::Rack => worker.rack.as_str(),
             Adjacency::Zone => worker.zone.as_str(),
         };
-        let seats = groups.entry(group).or_default();
-        let held: u32 = seats.iter().map(|seat| seat.tasks).sum();
+        let partial = groups.entry(group).or_default();
+        let assigned: u32 = partial.iter().map(|assignment| assignment.tasks).sum();
         let fit = worker.free().accelerators / shape.accelerators.max(1);
-        let tasks = fit.min(shape.tasks - held);
+        let tasks = fit.min(shape.tasks - assigned);
         if tasks > 0 {
-            seats.push(Assignment { worker: name.clone(), tasks });
+            partial.push(Assignment { worker: name.clone(), tasks });
         }
-        if held + tasks == shape.tasks {
-            let assignments = std::mem::take(seats);
+        if assigned + tasks == shape.tasks {
+            let assignments = std::mem::take(partial);
             return Some(Outcome {
                 assignments,
                 group: group.to_owned(),
@@ -45,37 +48,39 @@
     None
 }
 
-/// A gang that runs, as a baseline sees it.
+/// A running gang, as a baseline sees it.
 pub struct Running<'a> {
-    /// Its shape.
+    /// Shape of the gang.
     pub shape: &'a Shape,
-    /// Where it is.
-    pub seats: &'a [Assignment],
-    /// When it ends by its declared time.
-    pub ends: Duration,
+    /// Workers that it runs on.
+    pub assignments: &'a [Assignment],
+    /// When it ends according to its declared run time.
+    pub expected_end: Duration,
 }
 
-/// First-fit in arrival order; the first that does not fit holds up all behind it.
+/// First-fit in the order of arrival: the first job that doesn't fit blocks all later ones.
 pub fn in_order(mut fleet: Fleet, waiting: &[&Job]) -> Vec<(id::Job, Outcome)> {
     let mut starts = Vec::new();
     for job in waiting {
         let shape = job.shape.unwrap_or_default();
-        let Some(place) = first_fit(&fleet, &shape, |_| true) else { break };
-        take(&mut fleet, job, &place);
-        starts.push((job.id.clone(), place));
+        let Some(outcome) = first_fit(&fleet, &shape, |_| true) else { break };
+        allocate(&mut fleet, job, &outcome);
+        starts.push((job.id.clone(), outcome));
     }
     starts
 }
 
-fn take(fleet: &mut Fleet, job: &Job, place: &Outcome) {
+/// Allocates the workers of an assigned gang.
+fn allocate(fleet: &mut Fleet, job: &Job, outcome: &Outcome) {
     let shape = job.shape.unwrap_or_default();
-    for seat in &place.assignments {
-        fleet.allocate(&seat.worker, &job.organisation, &shape, seat.tasks, false);
+    for assignment in &outcome.assignments {
+        fleet.allocate(&assignment.worker, &job.organisation, &shape, assignment.tasks, false);
     }
 }
 
-/// The same with backfill: the first that does not fit gets a reservation by declared times,
-/// and a later one may start if it does not delay it.
+/// First-fit with backfill: the first job that doesn't fit gets a reservation, computed from
+/// declared run times. A later job may start if it doesn't delay the reservation, because it ends
+/// before it or runs on other workers.
 pub fn backfill(
     now: Duration,
     mut fleet: Fleet,
@@ -86,14 +91,14 @@
     let mut reserved: Option<(Duration, Vec<id::Worker>)> = None;
     for job in waiting {
         let shape = job.shape.unwrap_or_default();
-        let ends = now + Duration::from_millis(job.declared_ms);
-        let is_wanted = |name: &str| match &reserved {
-            Some((at, workers)) => ends <= *at || !workers.iter().any(|worker| worker == name),
+        let ends_at = now + Duration::from_millis(job.declared_ms);
+        let is_eligible = |name: &str| match &reserved {
+            Some((at, workers)) => ends_at <= *at || !workers.iter().any(|worker| worker == name),
             None => true,
         };
-        if let Some(place) = first_fit(&fleet, &shape, is_wanted) {
-            take(&mut fleet, job, &place);
-            starts.push((job.id.clone(), place));
+        if let Some(outcome) = first_fit(&fleet, &shape, is_eligible) {
+            allocate(&mut fleet, job, &outcome);
+            starts.push((job.id.clone(), outcome));
         } else if reserved.is_none() {
             reserved = reserve(now, &fleet, &shape, running);
         }
@@ -101,6 +106,8 @@
     starts
 }
 
+/// Earliest time at which a gang fits when running gangs end by their declared run times, and the
+/// workers that it then gets.
 fn reserve(
     now: Duration,
     fleet: &Fleet,
@@ -108,22 +115,24 @@
     running: &[Running<'_>],
 ) -> Option<(Duration, Vec<id::Worker>)> {
     let mut fleet = fleet.clone();
-    let mut ends: Vec<&Running<'_>> = running.iter().collect();
-    ends.sort_by_key(|running| running.ends.max(now));
-    for running in ends {
-        for seat in running.seats {
-            fleet.release(&seat.worker, running.shape, seat.tasks);
+    let mut by_end: Vec<&Running<'_>> = running.iter().collect();
+    by_end.sort_by_key(|running| running.expected_end.max(now));
+    for running in by_end {
+        for assignment in running.assignments {
+            fleet.release(&assignment.worker, running.shape, assignment.tasks);
         }
-        if let Some(place) = first_fit(&fleet, shape, |_| true) {
-            let workers = place.assignments.into_iter().map(|seat| seat.worker).collect();
-            return Some((running.ends.max(now), workers));
+        if let Some(outcome) = first_fit(&fleet, shape, |_| true) {
+            let workers =
+                outcome.assignments.into_iter().map(|assignment| assignment.worker).collect();
+            return Some((running.expected_end.max(now), workers));
         }
     }
     None
 }
 
-/// Each organisation has its own workers, by its share of the load, and first-fit there. One
-/// whose partition can never hold a gang borrows the whole fleet for it.
+/// Static partitions: each organisation has workers of its own, in proportion to its share of the
+/// load, and uses first-fit among them. A gang that doesn't fit into the partition even when it is
+/// empty may use the whole fleet.
 pub fn partitions(
     mut fleet: Fleet,
     waiting: &[&Job],
@@ -135,18 +144,18 @@
     for (organisation, share, _) in shares {
         let to = from + share;
         let bound = |part: f64| (part * names.len() as f64).round() as usize;
-        let own = names[bound(from).min(names.len())..bound(to).min(names.len())].to_vec();
+        let partition = names[bound(from).min(names.len())..bound(to).min(names.len())].to_vec();
         from = to;
         for job in waiting.iter().filter(|job| job.organisation == *organisation) {
             let shape = job.shape.unwrap_or_default();
             let mut empty = fleet.clone();
             empty.workers.values_mut().for_each(|worker| worker.used = Default::default());
-            let is_own = |name: &str| own.iter().any(|own| own == name);
-            let fits = first_fit(&empty, &shape, is_own).is_some();
-            let place = first_fit(&fleet, &shape, |name| !fits || is_own(name));
-            let Some(place) = place else { break };
-            take(&mut fleet, job, &place);
-            starts.push((job.id.clone(), place));
+            let is_in_partition = |name: &str| partition.iter().any(|worker| worker == name);
+            let fits = first_fit(&empty, &shape, is_in_partition).is_some();
+            let outcome = first_fit(&fleet, &shape, |name| !fits || is_in_partition(name));
+            let Some(outcome) = outcome else { break };
+            allocate(&mut fleet, job, &outcome);
+            starts.push((job.id.clone(), outcome));
         }
     }
     starts
--- a/crates/trace/src/deployment.rs
+++ b/crates/trace/src/deployment.rs
@@ -1,22 +1,22 @@
-//! Both members' deployments, as one cell each.
+//! The deployments of both members, Atlântica and Pastizal, as one cell each.
 
 use sapphire_plan::fleet::{Fleet, Worker};
 use sapphire_rules::file::File;
 use sapphire_wire::{Adjacency, Shape, resource};
 
-/// A cell and its rules.
+/// A cell with its rules, its workers and the organisations that use it.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Name.
+    /// Name of the deployment.
     pub name: &'static str,
     /// Rules in force.
     pub rules: File,
-    /// Empty workers.
+    /// Workers, all idle.
     pub fleet: Fleet,
     /// Largest guaranteed shape.
     pub largest: Shape,
-    /// Organisations with the share of load that each brings and how far off its declared times
-    /// are.
+    /// Organisations, each with its share of the load and the factor between its actual and its
+    /// declared run times.
     pub organisations: [(&'static str, f64, f64); 4],
 }
 
@@ -40,7 +40,7 @@
 reclaim grace=10s # Catalina\n\
 balance completion=30 fragmentation=70 # Catalina\n";
 
-/// `workers` workers of 8 accelerators, three to a rack, in one zone.
+/// Fleet of `workers` idle workers with 8 accelerators each, three to a rack, in one zone.
 pub fn workers(workers: usize, processors: u32, memory_bytes: u64) -> Fleet {
     let mut fleet = Fleet::default();
     for index in 0..workers {
@@ -58,15 +58,16 @@
 }
 
 fn rules(text: &str) -> File {
-    File::parse(text).expect("the rules above are good")
+    File::parse(text).expect("the rules above are valid")
 }
 
+/// Gang that takes whole workers of one rack.
 fn gang(tasks: u32) -> Shape {
     let adjacency = Adjacency::Rack as i32;
     Shape { accelerators: 8, tasks, adjacency, ..Shape::default() }
 }
 
-/// Revisão Doutoral Atlântica.
+/// The deployment of Revisão Doutoral Atlântica.
 pub fn atlantica() -> Deployment {
     Deployment {
         name: "atlantica",
@@ -82,7 +83,7 @@
     }
 }
 
-/// Pastizal Métrica.
+/// The deployment of Pastizal Métrica.
 pub fn pastizal() -> Deployment {
     Deployment {
         name: "pastizal",
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,5 +1,5 @@
-//! Drives the real decisions over made-up load in virtual time, against baselines in the same
-//! run. Development only; never shipped.
+//! Runs the planner's scheduling decisions over synthetic load in virtual time and compares them
+//! with baseline policies over the same load. Development only; never shipped.
 
 pub mod baseline;
 pub mod deployment;
--- a/crates/trace/src/load.rs
+++ b/crates/trace/src/load.rs
@@ -1,4 +1,5 @@
-//! Made-up load: bursts of small jobs, a stream of middling ones, large gangs for hours.
+//! Generates synthetic load: bursts of small jobs, a stream of medium ones, and large gangs that
+//! may run for hours.
 
 use std::time::Duration;
 
@@ -8,23 +9,24 @@
 
 use crate::deployment::Deployment;
 
-/// One job that will arrive.
+/// A job and its arrival.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The job as declared.
+    /// The job, with its declared run time.
     pub job: Job,
     /// When it arrives.
     pub at: Duration,
-    /// How long it really runs.
+    /// Actual run time.
     pub run: Duration,
 }
 
-/// A normally distributed number.
+/// Draws from the standard normal distribution.
 fn normal(rng: &mut Pcg64) -> f64 {
     let (u, v) = (rng.random::<f64>().max(1e-12), rng.random::<f64>());
     (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos()
 }
 
+/// Draws a run time in seconds from a log-normal distribution, bounded to 5 s and 10 h.
 fn log_normal(rng: &mut Pcg64, median_seconds: f64, sigma: f64) -> f64 {
     (median_seconds.ln() + sigma * normal(rng)).exp().clamp(5.0, 36_000.0)
 }
@@ -33,31 +35,36 @@
     Shape { accelerators, tasks, adjacency: adjacency as i32, ..Shape::default() }
 }
 
-struct Maker<'a> {
+/// Generator of one load.
+struct Generator<'a> {
     deployment: &'a Deployment,
     rng: Pcg64,
     arrivals: Vec<Arrival>,
-    area: f64,
+    /// Accelerator time of all arrivals so far, in seconds.
+    accelerator_s: f64,
 }
 
-impl Maker<'_> {
+impl Generator<'_> {
+    /// Draws an organisation by its share of the load and returns its index.
     fn organisation(&mut self) -> usize {
-        let mut left = self.rng.random::<f64>();
+        let mut remaining = self.rng.random::<f64>();
         for (index, (_, share, _)) in self.deployment.organisations.iter().enumerate() {
-            left -= share;
-            if left < 0.0 {
+            remaining -= share;
+            if remaining < 0.0 {
                 return index;
             }
         }
         0
     }
 
+    /// Adds a job that arrives at `at` seconds. The median and sigma are those of its run time;
+    /// the declared run time differs by the organisation's factor and a random error.
     fn add(&mut self, at: f64, organisation: usize, shape: Shape, median: f64, sigma: f64) {
         let run = log_normal(&mut self.rng, median, sigma);
         let (name, _, bias) = self.deployment.organisations[organisation];
         let error = 10_f64.powf(0.4 * normal(&mut self.rng)).clamp(0.1, 10.0);
         let declared = (run * bias * error).max(1.0);
-        self.area += run * f64::from(shape.accelerators * shape.tasks);
+        self.accelerator_s += run * f64::from(shape.accelerators * shape.tasks);
         let job = Job {
             id: format!("j{:05}", self.arrivals.len()),
             organisation: name.to_owned(),
@@ -70,6 +77,7 @@
         self.arrivals.push(Arrival { job, at, run });
     }
 
+    /// Adds a burst of small jobs of one organisation, which arrive within a minute.
     fn burst(&mut self, at: f64) {
         let organisation = self.organisation();
         for _ in 0..self.rng.random_range(8..30) {
@@ -80,17 +88,19 @@
         }
     }
 
-    fn middling(&mut self, at: f64) {
+    /// Adds a medium job.
+    fn medium(&mut self, at: f64) {
         let organisation = self.organisation();
-        let middling = match self.rng.random_range(0..3) {
+        let medium = match self.rng.random_range(0..3) {
             0 => shape(4, 2, Adjacency::Worker),
             1 => shape(8, 1, Adjacency::Worker),
             _ => shape(4, 2, Adjacency::Rack),
         };
-        self.add(at, organisation, middling, 900.0, 1.0);
+        self.add(at, organisation, medium, 900.0, 1.0);
     }
 
-    /// A gang of whole workers; the first organisation brings most of the largest.
+    /// Adds a gang of whole workers; most gangs of the largest guaranteed shape come from the first
+    /// organisation.
     fn large(&mut self, at: f64) {
         let organisation = if self.rng.random::<f64>() < 0.5 { 0 } else { self.organisation() };
         let largest = self.deployment.largest;
@@ -99,21 +109,27 @@
     }
 }
 
-/// Load for `time`, scaled to a share of the fleet's accelerators.
-pub fn make(deployment: &Deployment, seed: u64, time: Duration, utilisation: f64) -> Vec<Arrival> {
+/// Generates jobs that arrive over `time` and together need the share `utilisation` of the fleet's
+/// accelerator time.
+pub fn generate(
+    deployment: &Deployment,
+    seed: u64,
+    time: Duration,
+    utilisation: f64,
+) -> Vec<Arrival> {
     let rng = Pcg64::seed_from_u64(seed);
-    let mut maker = Maker { deployment, rng, arrivals: Vec::new(), area: 0.0 };
+    let mut generator = Generator { deployment, rng, arrivals: Vec::new(), accelerator_s: 0.0 };
     let capacity: u32 = deployment.fleet.workers.values().map(|w| w.capacity.accelerators).sum();
     let wanted = f64::from(capacity) * time.as_secs_f64() * utilisation;
-    while maker.area < wanted {
-        let at = maker.rng.random::<f64>() * time.as_secs_f64();
-        match maker.rng.random_range(0..10) {
-            0..=1 => maker.burst(at),
-            2..=7 => maker.middling(at),
-            _ => maker.large(at),
+    while generator.accelerator_s < wanted {
+        let at = generator.rng.random::<f64>() * time.as_secs_f64();
+        match generator.rng.random_range(0..10) {
+            0..=1 => generator.burst(at),
+            2..=7 => generator.medium(at),
+            _ => generator.large(at),
         }
     }
-    let mut arrivals = maker.arrivals;
+    let mut arrivals = generator.arrivals;
     arrivals.sort_by_key(|arrival| arrival.at);
     for (index, arrival) in arrivals.iter_mut().enumerate() {
         arrival.job.id = format!("j{index:05}");
--- a/crates/trace/src/run.rs
+++ b/crates/trace/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of one policy over one load.
+//! Simulates one policy over one load in virtual time.
 
 use std::{
     collections::BTreeMap,
@@ -24,40 +24,42 @@
     load::Arrival,
 };
 
-/// What decides.
+/// Policy that decides which waiting jobs start, and where.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// First-fit in arrival order.
+    /// First-fit in the order of arrival.
     FirstFit,
-    /// The same with backfill.
+    /// First-fit in the order of arrival, with backfill.
     Backfill,
     /// Static partitions by organisation.
     Partitions,
-    /// The product's pass.
+    /// The planner's scheduling pass.
     Pass(Mechanisms),
 }
 
 /// Time that a checkpoint takes, within the grace period.
 const CHECKPOINT: Duration = Duration::from_secs(5);
-/// Checkpoints that succeed, in a hundred; after another all since the start is lost.
-const CHECKPOINTS_WELL: u32 = 95;
-/// Time from a decision to the start of an idle worker's task.
-const START: Duration = Duration::from_millis(50);
-/// Longest start of a guaranteed gang beyond the grace period.
-const PROMPT: Duration = Duration::from_millis(2_700);
-/// How often the fleet is sampled.
-const SAMPLE: Duration = Duration::from_secs(60);
+/// Percentage of checkpoints that succeed; if one fails, all work since the start is lost.
+const CHECKPOINT_SUCCESS_PERCENT: u32 = 95;
+/// Time from a decision to the start of a task on an idle worker.
+const START_DELAY: Duration = Duration::from_millis(50);
+/// Time beyond the grace period after which the start of a guaranteed gang counts as late.
+const MAX_START_DELAY: Duration = Duration::from_millis(2_700);
+/// Interval of virtual time between samples of the fleet.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(60);
 
+/// A gang that runs.
 #[derive(Clone, Debug)]
-struct Live {
-    seats: Vec<Assignment>,
+struct Active {
+    assignments: Vec<Assignment>,
     is_guaranteed: bool,
     started: Duration,
-    ends: Duration,
-    /// It is being evicted and its room is free from then.
+    ends_at: Duration,
+    /// It is being evicted, and its resources are free from this time on.
     evicted_at: Option<Duration>,
 }
 
+/// State of a simulation.
 struct Run<'a> {
     deployment: &'a Deployment,
     policy: Policy,
@@ -65,28 +67,36 @@
     fleet: Fleet,
     estimates: Estimates,
     waiting: Vec<id::Job>,
-    live: BTreeMap<id::Job, Live>,
-    left: BTreeMap<id::Job, Duration>,
+    active: BTreeMap<id::Job, Active>,
+    /// Run time that each job still needs.
+    remaining_time: BTreeMap<id::Job, Duration>,
     first_start: BTreeMap<id::Job, Duration>,
-    /// When a job's organisation's guarantee could first hold it.
+    /// Time since which the guarantee of a waiting job's organisation has resources for it.
     holdable: BTreeMap<id::Job, Duration>,
     ended: BTreeMap<id::Job, Duration>,
     rng: Pcg64,
+    /// Accelerator time lost to evictions, in seconds.
     lost: f64,
+    /// Accelerator time used, in seconds.
     used: f64,
     figures: Figures,
+    /// Fragmentation and utilisation, by sample.
     samples: Vec<(f64, f64)>,
+    /// Durations of the decisions, in microseconds.
     passes: Vec<f64>,
 }
 
-/// Runs a policy over a load to the end of its last job.
+/// Simulates a policy over a load until all jobs have ended.
 pub fn run(deployment: &Deployment, policy: Policy, load: &[Arrival], seed: u64) -> Figures {
     let mut fleet = deployment.fleet.clone();
     let guarantees = deployment.rules.guarantees().collect();
     let bound = bind::bind(&bind::Options { guarantees, fleet: &fleet, previous: &[] });
     let has_guarantees = matches!(policy, Policy::Pass(mechanisms) if mechanisms.has_guarantees);
     for binding in bound.bindings.iter().filter(|_| has_guarantees) {
-        let worker = fleet.workers.get_mut(&binding.worker).expect("bound to a worker there is");
+        let worker = fleet
+            .workers
+            .get_mut(&binding.worker)
+            .expect("guarantees are bound to existing workers");
         worker.bound.insert(binding.organisation.clone(), binding.accelerators);
     }
     let mut run = Run {
@@ -96,8 +106,8 @@
         fleet,
         estimates: Estimates::default(),
         waiting: Vec::new(),
-        live: BTreeMap::new(),
-        left: load.iter().map(|arrival| (arrival.job.id.clone(), arrival.run)).collect(),
+        active: BTreeMap::new(),
+        remaining_time: load.iter().map(|arrival| (arrival.job.id.clone(), arrival.run)).collect(),
         first_start: BTreeMap::new(),
         holdable: BTreeMap::new(),
         ended: BTreeMap::new(),
@@ -108,22 +118,27 @@
         samples: Vec::new(),
         passes: Vec::new(),
     };
-    run.go(load);
+    run.simulate(load);
     run.finish(load)
 }
 
 impl<'a> Run<'a> {
-    fn go(&mut self, load: &'a [Arrival]) {
+    /// Advances virtual time from one arrival or end to the next, and decides at each.
+    fn simulate(&mut self, load: &'a [Arrival]) {
         let mut next = 0;
         let mut sample = Duration::ZERO;
         let last = load.last().map_or(Duration::ZERO, |arrival| arrival.at);
         loop {
             let arrival = load.get(next).map(|arrival| arrival.at);
-            let end = self.live.values().map(|live| live.evicted_at.unwrap_or(live.ends)).min();
+            let end = self
+                .active
+                .values()
+                .map(|active| active.evicted_at.unwrap_or(active.ends_at))
+                .min();
             let Some(now) = [arrival, end].into_iter().flatten().min() else { break };
             while sample < now.min(last) {
                 self.sample();
-                sample += SAMPLE;
+                sample += SAMPLE_INTERVAL;
             }
             while load.get(next).is_some_and(|arrival| arrival.at <= now) {
                 self.waiting.push(load[next].job.id.clone());
@@ -139,16 +154,20 @@
         &self.arrivals[id].job
     }
 
+    /// Ends the gangs that are done or whose eviction is complete.
     fn end_due(&mut self, now: Duration) {
-        let due = self.live.iter().filter(|(_, live)| live.evicted_at.unwrap_or(live.ends) <= now);
+        let due = self
+            .active
+            .iter()
+            .filter(|(_, active)| active.evicted_at.unwrap_or(active.ends_at) <= now);
         let due: Vec<id::Job> = due.map(|(id, _)| id.clone()).collect();
         for id in due {
-            let live = self.live.remove(&id).expect("just found");
-            self.release(&id, &live);
+            let active = self.active.remove(&id).expect("the job is active");
+            self.release(&id, &active);
             let accelerators = f64::from(size::accelerators(self.job(&id)));
-            let ran = now.saturating_sub(live.started);
+            let ran = now.saturating_sub(active.started);
             self.used += accelerators * seconds(ran);
-            match live.evicted_at {
+            match active.evicted_at {
                 None => {
                     self.estimates.observe(self.job(&id), self.arrivals[&id].run);
                     self.ended.insert(id, now);
@@ -158,42 +177,54 @@
         }
     }
 
+    /// Queues an evicted job again, less the work that its checkpoint has kept.
     fn requeue(&mut self, id: id::Job, ran: Duration, accelerators: f64) {
-        let kept = if self.rng.random_range(0..100) < CHECKPOINTS_WELL {
+        let saved = if self.rng.random_range(0..100) < CHECKPOINT_SUCCESS_PERCENT {
             ran.saturating_sub(CHECKPOINT)
         } else {
             Duration::ZERO
         };
-        self.lost += accelerators * seconds(ran - kept);
-        let left = self.left.get_mut(&id).expect("each job has one");
-        *left = left.saturating_sub(kept).max(Duration::from_secs(1));
+        self.lost += accelerators * seconds(ran - saved);
+        let remaining_time =
+            self.remaining_time.get_mut(&id).expect("every job has a remaining run time");
+        *remaining_time = remaining_time.saturating_sub(saved).max(Duration::from_secs(1));
         self.waiting.push(id);
     }
 
-    fn release(&mut self, id: &str, live: &Live) {
+    /// Releases the resources of a gang.
+    fn release(&mut self, id: &str, active: &Active) {
         let job = self.arrivals[id].job.clone();
         let shape = job.shape.unwrap_or_default();
-        for seat in &live.seats {
-            self.fleet.release(&seat.worker, &shape, seat.tasks);
-            if live.is_guaranteed {
-                let worker = self.fleet.workers.get_mut(&seat.worker).expect("it ran there");
+        for assignment in &active.assignments {
+            self.fleet.release(&assignment.worker, &shape, assignment.tasks);
+            if active.is_guaranteed {
+                let worker = self
+                    .fleet
+                    .workers
+                    .get_mut(&assignment.worker)
+                    .expect("the gang ran on this worker");
                 let own = worker.guaranteed.entry(job.organisation.clone()).or_default();
-                *own -= shape.accelerators * seat.tasks;
+                *own -= shape.accelerators * assignment.tasks;
             }
         }
     }
 
+    /// Decides which waiting jobs start now, measures the decision's duration, and starts them.
     fn decide(&mut self, now: Duration) {
         let begin = Instant::now();
         let starts: Vec<(id::Job, place::Outcome, bool)> = match self.policy {
             Policy::Pass(mechanisms) => self.by_pass(now, mechanisms),
-            _ => self.by_baseline(now).into_iter().map(|(id, place)| (id, place, false)).collect(),
+            _ => self
+                .by_baseline(now)
+                .into_iter()
+                .map(|(id, outcome)| (id, outcome, false))
+                .collect(),
         };
         self.passes.push(begin.elapsed().as_secs_f64() * 1e6);
-        for (id, place, is_guaranteed) in starts {
-            self.start(now, &id, place, is_guaranteed);
+        for (id, outcome, is_guaranteed) in starts {
+            self.start(now, &id, outcome, is_guaranteed);
         }
-        self.note_holdable(now);
+        self.record_holdable(now);
     }
 
     fn by_baseline(&self, now: Duration) -> Vec<(id::Job, place::Outcome)> {
@@ -203,10 +234,10 @@
         match self.policy {
             Policy::FirstFit => baseline::in_order(fleet, &waiting),
             Policy::Backfill => {
-                let running = self.live.iter().map(|(id, live)| baseline::Running {
-                    shape: self.job(id).shape.as_ref().expect("each job has one"),
-                    seats: &live.seats,
-                    ends: live.started + Duration::from_millis(self.job(id).declared_ms),
+                let running = self.active.iter().map(|(id, active)| baseline::Running {
+                    shape: self.job(id).shape.as_ref().expect("every job has a shape"),
+                    assignments: &active.assignments,
+                    expected_end: active.started + Duration::from_millis(self.job(id).declared_ms),
                 });
                 baseline::backfill(now, fleet, &waiting, &running.collect::<Vec<_>>())
             }
@@ -219,23 +250,23 @@
         now: Duration,
         mechanisms: Mechanisms,
     ) -> Vec<(id::Job, place::Outcome, bool)> {
-        self.note_holdable(now);
+        self.record_holdable(now);
         let waiting = self.waiting.iter().map(|id| pass::Waiting {
             job: self.job(id),
             waited: now.saturating_sub(self.arrivals[id].at),
             expected: self.estimates.expect(self.job(id)),
         });
         let running: Vec<pass::Running> = self
-            .live
+            .active
             .iter()
-            .map(|(id, live)| {
+            .map(|(id, active)| {
                 let expected = self.estimates.expect(self.job(id));
                 pass::Running {
                     organisation: self.job(id).organisation.clone(),
                     shape: self.job(id).shape.unwrap_or_default(),
-                    assignments: live.seats.clone(),
-                    is_guaranteed: live.is_guaranteed,
-                    remaining: Estimates::remaining(expected, now.saturating_sub(live.started)),
+                    assignments: active.assignments.clone(),
+                    is_guaranteed: active.is_guaranteed,
+                    remaining: Estimates::remaining(expected, now.saturating_sub(active.started)),
                 }
             })
             .collect();
@@ -251,8 +282,8 @@
         starts.map(|start| (start.job, start.place, start.is_guaranteed)).collect()
     }
 
-    /// Notes which waiting jobs their organisation's guarantee could hold now.
-    fn note_holdable(&mut self, now: Duration) {
+    /// Records for which waiting jobs their organisation's guarantee has resources now.
+    fn record_holdable(&mut self, now: Duration) {
         for id in self.waiting.clone() {
             let job = self.job(&id);
             let shape = job.shape.unwrap_or_default();
@@ -265,67 +296,79 @@
         }
     }
 
-    /// Starts a gang. What borrowers hold of its guarantee is reclaimed first, as the agents
-    /// do it: the cheapest on each worker, whole gangs, within the grace period.
-    fn start(&mut self, now: Duration, id: &id::Job, place: place::Outcome, is_guaranteed: bool) {
+    /// Starts a gang. If it runs on a guarantee, what borrowers hold of that is reclaimed first, as
+    /// the agents do it: on each worker the borrowers whose eviction costs least, complete gangs,
+    /// within the grace period.
+    fn start(&mut self, now: Duration, id: &id::Job, outcome: place::Outcome, is_guaranteed: bool) {
         let job = self.job(id);
         let shape = job.shape.unwrap_or_default();
-        let mut begins = now + START;
+        let mut starts_at = now + START_DELAY;
         if is_guaranteed {
-            begins = begins.max(self.reclaim(now, &shape, &place.assignments));
+            starts_at = starts_at.max(self.reclaim(now, &shape, &outcome.assignments));
         }
-        for seat in &place.assignments {
-            self.fleet.allocate(&seat.worker, &job.organisation, &shape, seat.tasks, is_guaranteed);
+        for assignment in &outcome.assignments {
+            self.fleet.allocate(
+                &assignment.worker,
+                &job.organisation,
+                &shape,
+                assignment.tasks,
+                is_guaranteed,
+            );
         }
         self.waiting.retain(|waiting| waiting != id);
-        self.first_start.entry(id.clone()).or_insert(begins);
+        self.first_start.entry(id.clone()).or_insert(starts_at);
         if is_guaranteed {
-            self.note_guaranteed(id, begins);
+            self.record_guaranteed_start(id, starts_at);
         }
-        let ends = begins + self.left[id];
-        let seats = place.assignments;
-        let live = Live { seats, is_guaranteed, started: begins, ends, evicted_at: None };
-        self.live.insert(id.clone(), live);
+        let ends_at = starts_at + self.remaining_time[id];
+        let assignments = outcome.assignments;
+        let active =
+            Active { assignments, is_guaranteed, started: starts_at, ends_at, evicted_at: None };
+        self.active.insert(id.clone(), active);
     }
 
-    fn note_guaranteed(&mut self, id: &id::Job, begins: Duration) {
-        let since = self.holdable.get(id).copied().unwrap_or(begins);
-        let wait = begins.saturating_sub(since);
+    /// Records how long the start of a guaranteed gang took.
+    fn record_guaranteed_start(&mut self, id: &id::Job, starts_at: Duration) {
+        let since = self.holdable.get(id).copied().unwrap_or(starts_at);
+        let wait = starts_at.saturating_sub(since);
         let grace = self.deployment.rules.reclaim().grace;
         self.figures.guaranteed += 1.0;
-        self.figures.late += f64::from(u8::from(wait > grace + PROMPT));
+        self.figures.late += f64::from(u8::from(wait > grace + MAX_START_DELAY));
         self.figures.worst_start = self.figures.worst_start.max(seconds(wait));
     }
 
+    /// Evicts borrowers where a guaranteed gang needs their resources; returns when the last are
+    /// free.
     fn reclaim(
         &mut self,
         now: Duration,
         shape: &sapphire_wire::Shape,
-        seats: &[Assignment],
+        assignments: &[Assignment],
     ) -> Duration {
         let mut free_at = now;
-        for seat in seats {
-            // Gangs that wait here for an eviction under way have been given room already.
-            let worker = &self.fleet.workers[&seat.worker];
+        for assignment in assignments {
+            // Resources are allocated already to gangs that wait here for an eviction in progress.
+            let worker = &self.fleet.workers[&assignment.worker];
             let claimed = worker.used.minus(&worker.capacity);
-            let need = resource::Amount::of_tasks(shape, seat.tasks).plus(&claimed);
-            let borrowers = self.borrowers(now, &seat.worker);
-            let ending: Vec<&Live> =
-                self.live.values().filter(|live| live.evicted_at.is_some()).collect();
-            let mut room = self.fleet.workers[&seat.worker].free();
-            for live in ending {
-                if live.seats.iter().any(|own| own.worker == seat.worker) {
-                    free_at = free_at.max(live.evicted_at.unwrap_or(now));
-                    let id = self.live.iter().find(|(_, other)| std::ptr::eq(*other, live));
+            let need = resource::Amount::of_tasks(shape, assignment.tasks).plus(&claimed);
+            let borrowers = self.borrowers(now, &assignment.worker);
+            let ending: Vec<&Active> =
+                self.active.values().filter(|active| active.evicted_at.is_some()).collect();
+            let mut available = self.fleet.workers[&assignment.worker].free();
+            for active in ending {
+                if active.assignments.iter().any(|own| own.worker == assignment.worker) {
+                    free_at = free_at.max(active.evicted_at.unwrap_or(now));
+                    let id = self.active.iter().find(|(_, other)| std::ptr::eq(*other, active));
                     let shape = id.and_then(|(id, _)| self.job(id).shape).unwrap_or_default();
-                    let own = live.seats.iter().filter(|own| own.worker == seat.worker);
+                    let own =
+                        active.assignments.iter().filter(|own| own.worker == assignment.worker);
                     let tasks = own.map(|own| own.tasks).sum();
-                    room = room.plus(&resource::Amount::of_tasks(&shape, tasks));
+                    available = available.plus(&resource::Amount::of_tasks(&shape, tasks));
                 }
             }
-            for id in reclaim::choose(borrowers, reclaim::Order::Youngest, &room, &need) {
-                let live = self.live.get_mut(&id).expect("it runs");
-                live.evicted_at = Some(now + CHECKPOINT);
+            for id in reclaim::choose(borrowers, reclaim::Order::Youngest, &available, &need) {
+                let active = self.active.get_mut(&id).expect("borrowers are active");
+                active.evicted_at = Some(now + CHECKPOINT);
                 self.figures.evictions += 1.0;
                 free_at = free_at.max(now + CHECKPOINT);
             }
@@ -333,28 +376,29 @@
         free_at
     }
 
+    /// Gangs that run on a worker with borrowed resources and are not being evicted.
     fn borrowers(&self, now: Duration, worker: &str) -> Vec<reclaim::Borrower> {
-        let here = self.live.iter().filter(|(_, live)| {
-            !live.is_guaranteed
-                && live.evicted_at.is_none()
-                && live.seats.iter().any(|seat| seat.worker == worker)
+        let here = self.active.iter().filter(|(_, active)| {
+            !active.is_guaranteed
+                && active.evicted_at.is_none()
+                && active.assignments.iter().any(|assignment| assignment.worker == worker)
         });
-        here.map(|(id, live)| {
+        here.map(|(id, active)| {
             let shape = self.job(id).shape.unwrap_or_default();
-            let own = live.seats.iter().filter(|seat| seat.worker == worker);
-            let tasks = own.map(|seat| seat.tasks).sum();
+            let own = active.assignments.iter().filter(|assignment| assignment.worker == worker);
+            let tasks = own.map(|assignment| assignment.tasks).sum();
             reclaim::Borrower {
                 attempt: id.clone(),
                 need: resource::Amount::of_tasks(&shape, tasks),
-                ran: now.saturating_sub(live.started),
+                ran: now.saturating_sub(active.started),
                 gang: size::accelerators(self.job(id)),
             }
         })
         .collect()
     }
 
-    /// Share of free accelerators that can't serve the largest guaranteed shape, and of those
-    /// in use.
+    /// Samples the share of the free accelerators that can't serve the largest guaranteed shape,
+    /// and the share of all accelerators that are in use.
     fn sample(&mut self) {
         let capacity: u32 = self.fleet.workers.values().map(|w| w.capacity.accelerators).sum();
         let free: u32 = self.fleet.workers.values().map(|w| w.free().accelerators).sum();
@@ -362,50 +406,54 @@
         let mut fleet = self.fleet.clone();
         fleet.workers.values_mut().for_each(|worker| worker.bound.clear());
         let mut served = 0;
-        while let Some(place) = place::place(&fleet, &place::Options::borrowing("", &shape)) {
-            for seat in &place.assignments {
-                fleet.allocate(&seat.worker, "", &shape, seat.tasks, false);
+        while let Some(outcome) = place::place(&fleet, &place::Options::borrowing("", &shape)) {
+            for assignment in &outcome.assignments {
+                fleet.allocate(&assignment.worker, "", &shape, assignment.tasks, false);
             }
             served += shape.accelerators * shape.tasks;
         }
-        let scattered = f64::from(free - served) / f64::from(free.max(1));
+        let fragmented = f64::from(free - served) / f64::from(free.max(1));
         let in_use = f64::from(capacity - free.min(capacity)) / f64::from(capacity);
-        self.samples.push((if free == 0 { 0.0 } else { scattered }, in_use));
+        self.samples.push((if free == 0 { 0.0 } else { fragmented }, in_use));
     }
 
-    /// No accelerator is taken twice, save by a gang that waits for an eviction under way.
+    /// No accelerator is allocated twice, except to a gang that waits for an eviction in progress.
     fn assert_invariants(&self) {
         for (name, worker) in &self.fleet.workers {
-            let leaving: u32 = self
-                .live
+            let evicting: u32 = self
+                .active
                 .iter()
-                .filter(|(_, live)| live.evicted_at.is_some())
-                .flat_map(|(id, live)| live.seats.iter().map(move |seat| (id, seat)))
-                .filter(|(_, seat)| seat.worker == *name)
-                .map(|(id, seat)| self.job(id).shape.unwrap_or_default().accelerators * seat.tasks)
+                .filter(|(_, active)| active.evicted_at.is_some())
+                .flat_map(|(id, active)| active.assignments.iter().map(move |part| (id, part)))
+                .filter(|(_, part)| part.worker == *name)
+                .map(|(id, part)| self.job(id).shape.unwrap_or_default().accelerators * part.tasks)
                 .sum();
-            let taken = worker.used.accelerators;
-            assert!(taken <= worker.capacity.accelerators + leaving, "{name} is taken twice");
+            let allocated = worker.used.accelerators;
+            assert!(
+                allocated <= worker.capacity.accelerators + evicting,
+                "accelerators of {name} are allocated twice"
+            );
         }
     }
 
+    /// Checks that all jobs have ended and computes the figures.
     fn finish(mut self, load: &[Arrival]) -> Figures {
         assert_eq!(self.ended.len(), load.len(), "jobs were lost");
         let completion = |arrival: &Arrival| seconds(self.ended[&arrival.job.id] - arrival.at);
         let mut times: Vec<f64> = load.iter().map(completion).collect();
         let slowdowns: Vec<f64> =
             load.iter().map(|arrival| completion(arrival) / seconds(arrival.run)).collect();
-        let least = self.deployment.largest.tasks * self.deployment.largest.accelerators;
-        let large = load.iter().filter(|arrival| size::accelerators(&arrival.job) >= least);
+        let min_large = self.deployment.largest.tasks * self.deployment.largest.accelerators;
+        let large = load.iter().filter(|arrival| size::accelerators(&arrival.job) >= min_large);
         let waits: Vec<f64> =
             large.map(|a| seconds(self.first_start[&a.job.id].saturating_sub(a.at))).collect();
-        let mean = |numbers: &[f64]| figures::spread(numbers).0;
-        let (scattered, in_use): (Vec<f64>, Vec<f64>) = self.samples.iter().copied().unzip();
+        let mean = |numbers: &[f64]| figures::mean_and_deviation(numbers).0;
+        let (fragmented, in_use): (Vec<f64>, Vec<f64>) = self.samples.iter().copied().unzip();
         Figures {
             completion_mean: mean(&times),
             completion_p99: figures::quantile(&mut times, 0.99),
             slowdown: mean(&slowdowns),
-            fragmentation: mean(&scattered),
+            fragmentation: mean(&fragmented),
             large_wait: mean(&waits),
             utilisation: mean(&in_use),
             lost: self.lost / self.used.max(1.0),
