--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -386,7 +386,7 @@
         for agent in 0..AGENTS {
             let minion = &self.minions[usize::from(agent)];
             let address = self.net.minion(agent).to_string();
-            let request = platform::beat(minion, &address, self.sequence);
+            let request = platform::heartbeat(minion, &address, self.sequence);
             let call = self.hub.call(self.net.heartbeats(agent), &request, HEARTBEAT_INTERVAL);
             self.pending.insert(call, Pending::Heartbeat);
         }
--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -155,7 +155,7 @@
 
 /// Heartbeat that a minion sends to its agent; `address` is where the minion takes orders, and
 /// `sequence` increases from one heartbeat to the next.
-pub fn beat(minion: &Minion, address: &str, sequence: u64) -> Request {
+pub fn heartbeat(minion: &Minion, address: &str, sequence: u64) -> Request {
     let body = json!({
         "service": "desk", "address": address, "zone": "z", "version": "v1", "slots": 8,
         "state": "ready", "labels": minion.incarnation.labels, "call_seq": sequence,
