--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -78,7 +78,7 @@
         let minion = &self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms;
         let received =
-            Received { agent, order, minion_id: platform::life(request), born_ms, at: now };
+            Received { agent, order, minion_id: platform::minion_id(request), born_ms, at: now };
         match &received.order {
             Order::LongPoll { wait, .. } if !wait.is_zero() && minion.ended.is_empty() => {
                 let deadline = now + *wait;
--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -180,7 +180,7 @@
 }
 
 /// Identifier that the minion must have to accept the request; empty if any minion may.
-pub fn life(request: &Request) -> String {
+pub fn minion_id(request: &Request) -> String {
     request.header("X-Expect-Instance").unwrap_or_default().to_owned()
 }
 
