--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -118,7 +118,8 @@
         };
         let run = run.map(|run| (Task::read(&run), run.run));
         let before = run.as_ref().and_then(|(task, _)| Some(minion.active.get(task)?.number));
-        let (response, is_carried_out) = platform::obey(minion, now, &received.order, &self.truth);
+        let (response, is_carried_out) =
+            platform::execute(minion, now, &received.order, &self.truth);
         if !matches!(received.order, Order::LongPoll { .. }) {
             let body = String::from_utf8_lossy(&response.body).into_owned();
             self.log_order(received, &format!("{} {body}", response.status));
--- a/crates/standins/src/jobs_platform.rs
+++ b/crates/standins/src/jobs_platform.rs
@@ -217,7 +217,7 @@
 }
 
 /// Applies an order to a minion. Returns the response, and whether a start or stop was carried out.
-pub fn obey(
+pub fn execute(
     minion: &mut Minion,
     now: Duration,
     order: &Order,
