--- a/crates/trace/src/run.rs
+++ b/crates/trace/src/run.rs
@@ -38,7 +38,7 @@
 }
 
 /// Time that a checkpoint takes, within the grace period.
-const CHECKPOINT: Duration = Duration::from_secs(5);
+const CHECKPOINT_TIME: Duration = Duration::from_secs(5);
 /// Percentage of checkpoints that succeed; if one fails, all work since the start is lost.
 const CHECKPOINT_SUCCESS_PERCENT: u32 = 95;
 /// Time from a decision to the start of a task on an idle worker.
@@ -180,7 +180,7 @@
     /// Queues an evicted job again, less the work that its checkpoint has kept.
     fn requeue(&mut self, id: id::Job, ran: Duration, accelerators: f64) {
         let saved = if self.rng.random_range(0..100) < CHECKPOINT_SUCCESS_PERCENT {
-            ran.saturating_sub(CHECKPOINT)
+            ran.saturating_sub(CHECKPOINT_TIME)
         } else {
             Duration::ZERO
         };
@@ -368,9 +368,9 @@
             }
             for id in reclaim::choose(borrowers, reclaim::Order::Youngest, &available, &need) {
                 let active = self.active.get_mut(&id).expect("borrowers are active");
-                active.evicted_at = Some(now + CHECKPOINT);
+                active.evicted_at = Some(now + CHECKPOINT_TIME);
                 self.figures.evictions += 1.0;
-                free_at = free_at.max(now + CHECKPOINT);
+                free_at = free_at.max(now + CHECKPOINT_TIME);
             }
         }
         free_at
