--- a/crates/entry/src/job_table.rs
+++ b/crates/entry/src/job_table.rs
@@ -153,7 +153,7 @@
         if self.is_stored(id) {
             return Some(reply);
         }
-        let is_same = |p: &PendingReply| p.reply.call == call && peer::is_same_life(&p.to, from);
+        let is_same = |p: &PendingReply| p.reply.call == call && peer::is_same_process(&p.to, from);
         if !self.pending_replies.iter().any(is_same) {
             self.pending_replies.push(PendingReply {
                 change: self.change_of(id),
