--- a/crates/proofs/src/jobs/world/agents.rs
+++ b/crates/proofs/src/jobs/world/agents.rs
@@ -17,7 +17,7 @@
             }
             return;
         }
-        if let runner::event::Event::Beat(beat) = &event {
+        if let runner::event::Event::Heartbeat(beat) = &event {
             let minion = &mut self.minions[agent];
             if beat.incarnation.is_draining && beat.incarnation == minion.incarnation {
                 minion.told.get_or_insert(self.now);
@@ -32,7 +32,7 @@
         use runner::effect::Effect;
         let (life, region) = (self.agents[agent].life, self.agents[agent].region);
         match effect {
-            Effect::Minion { ticket, call, timeout, life: target, .. } => {
+            Effect::CallMinion { ticket, call, timeout, minion_id: target, .. } => {
                 let (life, sent, until) = (Some(life), self.now, self.now + timeout);
                 let born_ms = self.minions[agent].incarnation.born_ms;
                 let request = Request { agent, life, ticket, call, target, born_ms, sent, until };
@@ -42,11 +42,11 @@
                 let Some(entry) = Self::entry_of(&address) else { return };
                 let latency = self.latency(region, self.entries[entry].region);
                 self.after(latency, Action::Poll { entry, agent, life, ticket, poll });
-                let lost = runner::event::Event::NoOrders { ticket, is_declined: false };
+                let lost = runner::event::Event::PollFailed { ticket, is_declined: false };
                 let timeout = runner::options::POLL_TIMEOUT;
                 self.after(timeout, Action::Runner(agent, life, lost));
             }
-            Effect::AskLead { address } => {
+            Effect::QueryLeader { address } => {
                 let Some(entry) = Self::entry_of(&address) else { return };
                 if self.agents[agent].is_cut {
                     return;
--- a/crates/sapphired/src/jobs_agent.rs
+++ b/crates/sapphired/src/jobs_agent.rs
@@ -97,7 +97,7 @@
             reload::Outcome::Same => {}
             reload::Outcome::Changed(settings) => {
                 let bounds = settings.bounds.unwrap_or_default();
-                self.machine.set_stop(Duration::from_millis(bounds.stop_ms));
+                self.machine.set_stop_timeout(Duration::from_millis(bounds.stop_ms));
                 self.levels.info("member", "settings changed; bounds are in force");
             }
             reload::Outcome::Refused(findings) => {
@@ -110,11 +110,11 @@
         if listener == self.listeners.minion {
             let response = match platform::minion::word(request) {
                 platform::minion::Word::Beat(beat) => {
-                    self.told(cx, Told::Beat(beat));
+                    self.told(cx, Told::Heartbeat(beat));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Leaves(id) => {
-                    self.told(cx, Told::Leaves(id));
+                    self.told(cx, Told::Deregistered(id));
                     Response::new(200, "{}").with("Content-Type", "application/json")
                 }
                 platform::minion::Word::Unreadable(reason) => {
@@ -127,7 +127,7 @@
             let response = match (request.method.as_str(), request.path()) {
                 ("POST", inner::LEAD) => match Lead::decode(request.body.clone()) {
                     Ok(lead) => {
-                        self.told(cx, Told::Lead(lead));
+                        self.told(cx, Told::Leader(lead));
                         Response::new(200, "")
                     }
                     Err(error) => {
@@ -152,19 +152,19 @@
                 // A time that can't be kept is not worth an error.
                 let _ = self.metrics.time("minion", millis);
                 let reply = platform::minion::reply(&call, result);
-                self.told(cx, Told::Minion(ticket, reply));
+                self.told(cx, Told::MinionReply(ticket, reply));
             }
             Some(Pending::Poll(ticket)) => {
                 let is_declined = result.as_ref().is_ok_and(|it| it.status == inner::DECLINED);
                 let told = match inner::answer::<Orders>(result) {
                     Some(orders) => Told::Orders(ticket, Box::new(orders)),
-                    None => Told::NoOrders { ticket, is_declined },
+                    None => Told::PollFailed { ticket, is_declined },
                 };
                 self.told(cx, told);
             }
             Some(Pending::Lead) => {
                 if let Some(lead) = inner::answer::<Lead>(result) {
-                    self.told(cx, Told::Lead(lead));
+                    self.told(cx, Told::Leader(lead));
                 }
             }
             None => {}
@@ -180,9 +180,9 @@
 
     fn effect(&mut self, cx: CX![], now: Duration, effect: Effect) {
         match effect {
-            Effect::Minion { ticket, address, life, call, timeout } => {
+            Effect::CallMinion { ticket, address, minion_id, call, timeout } => {
                 let Ok(target) = address.parse::<SocketAddr>() else { return };
-                let request = platform::minion::request(&life, &call);
+                let request = platform::minion::request(&minion_id, &call);
                 let id = self.net.borrow_mut().call(target, &request, timeout);
                 self.calls.insert(id, Pending::Minion { ticket, call: Box::new(call), sent: now });
             }
@@ -194,9 +194,9 @@
                 let id = inner::call(hub, &address, "POST", inner::POLL, &*poll, timeout);
                 self.calls.extend(id.map(|id| (id, Pending::Poll(ticket))));
             }
-            Effect::AskLead { address } => {
+            Effect::QueryLeader { address } => {
                 let hub = &mut self.net.borrow_mut();
-                let timeout = options::LEAD_TIMEOUT;
+                let timeout = options::LEADER_QUERY_TIMEOUT;
                 let id = inner::call(hub, &address, "GET", inner::LEAD, &(), timeout);
                 self.calls.extend(id.map(|id| (id, Pending::Lead)));
             }
@@ -229,8 +229,8 @@
         address: settings.address.clone(),
         generation: u64::try_from(started.unix.as_micros()).unwrap_or(u64::MAX),
         entries: settings.entries.clone(),
-        tasks: settings.tasks.clone(),
-        stop: Duration::from_millis(bounds.stop_ms),
+        minion_address: settings.tasks.clone(),
+        stop_timeout: Duration::from_millis(bounds.stop_ms),
     });
     let role = Role {
         file: reload::File::new(PathBuf::from(path), started.steady),
