--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -185,10 +185,10 @@
             self.leadership.watch_from = 0;
         }
         match self.leadership.holder.reply(now, sent, reply) {
-            lease::Outcome::Same => {}
+            lease::Outcome::Unchanged => {}
             // The write was in flight when the process was asked to terminate.
-            lease::Outcome::Taken(_) if self.leadership.is_terminating => self.resign(),
-            lease::Outcome::Taken(term) => {
+            lease::Outcome::Acquired(_) if self.leadership.is_terminating => self.resign(),
+            lease::Outcome::Acquired(term) => {
                 self.leadership.vacant_since = None;
                 let leader = Lead {
                     name: self.options.name.clone(),
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -331,7 +331,7 @@
                     self.handle_minion_request(now, caller, agent, &request);
                 }
             }
-            Event::Left(caller) => {
+            Event::Disconnected(caller) => {
                 self.watches.retain(|(other, ..)| *other != caller);
                 self.long_polls.retain(|poll| poll.caller != caller);
             }
