--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -1,5 +1,4 @@
-//! The simulated minions: carry out orders, some of them late, let tasks make progress, and check
-//! what must hold at the start and end of tasks.
+//! The minions' side: orders, some of them late, tasks that make progress, and what must hold.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,42 +23,41 @@
 use super::Soak;
 use crate::fleet::AGENTS;
 
-/// Time for which a gang member waits for the others before it ends.
+/// Time after which a member of a gang that waits for the others ends.
 const GANG_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time after the end of a fault within which it may still have effects.
+/// Time after the end of a fault in which it may still have effects.
 const FAULT_AFTERMATH: Duration = Duration::from_secs(5);
 
-/// Delays of late orders, in milliseconds.
+/// Milliseconds after which a late order is carried out.
 const LATE_DELAY_MS: std::ops::Range<u64> = 2_000..6_000;
 
-/// An order as a minion received it.
+/// An order to a minion, as it came.
 #[derive(Clone, Debug)]
 pub(super) struct Received {
     agent: u8,
     order: Order,
-    /// Identifier that the minion must have to carry it out; empty if any minion may.
+    /// Life that it names.
     minion_id: String,
-    /// Start time of the incarnation that received it.
+    /// Start of the life that was there when it came.
     born_ms: u64,
     at: Duration,
 }
 
-/// A long poll that waits for the end of a task.
+/// A call that waits for an end.
 pub(super) struct LongPoll {
     pub(super) caller: CallerId,
     received: Received,
     deadline: Duration,
 }
 
-/// A run of a task that ended with `done`.
+/// An end that was `done`.
 pub(super) struct Completion {
     agent: u8,
     born_ms: u64,
     number: RunNumber,
     at: Duration,
-    /// The end was acknowledged to the minion.
     is_acknowledged: bool,
-    /// Descriptions of the starts of the same task since.
+    /// Starts of the same task since.
     starts: Vec<String>,
 }
 
@@ -77,8 +75,7 @@
         };
         let minion = &self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms;
-        let received =
-            Received { agent, order, minion_id: platform::minion_id(request), born_ms, at: now };
+        let received = Received { agent, order, minion_id: platform::minion_id(request), born_ms, at: now };
         match &received.order {
             Order::LongPoll { wait, .. } if !wait.is_zero() && minion.ended.is_empty() => {
                 let deadline = now + *wait;
@@ -90,10 +87,7 @@
                 let is_due = now >= self.late_from && now < self.late_until;
                 if is_due && self.trouble_rng.random_bool(self.late_share) {
                     let delay = Duration::from_millis(self.trouble_rng.random_range(LATE_DELAY_MS));
-                    self.log_order(
-                        &received,
-                        &format!("not answered, carried out {} ms later", delay.as_millis()),
-                    );
+                    self.log_order(&received, &format!("not answered, carried out {} ms later", delay.as_millis()));
                     self.faults_until = self.faults_until.max(now + delay);
                     self.late_orders.push((now + delay, received));
                     return;
@@ -104,7 +98,6 @@
         self.hub.answer(caller, &response);
     }
 
-    /// Applies an order to its minion, checks the result and returns the response.
     fn carry_out(&mut self, now: Duration, received: &Received) -> Response {
         let agent = received.agent;
         let minion = &mut self.minions[usize::from(agent)];
@@ -118,8 +111,7 @@
         };
         let run = run.map(|run| (Task::read(&run), run.run));
         let before = run.as_ref().and_then(|(task, _)| Some(minion.active.get(task)?.number));
-        let (response, is_carried_out) =
-            platform::execute(minion, now, &received.order, &self.truth);
+        let (response, is_carried_out) = platform::execute(minion, now, &received.order, &self.truth);
         if !matches!(received.order, Order::LongPoll { .. }) {
             let body = String::from_utf8_lossy(&response.body).into_owned();
             self.log_order(received, &format!("{} {body}", response.status));
@@ -129,13 +121,13 @@
         {
             self.check_start(received, &task, number, before);
         }
-        for ended in std::mem::take(&mut self.minions[usize::from(agent)].noted) {
+        for ended in std::mem::take(&mut self.minions[usize::from(agent)].acknowledged) {
             self.check_acknowledged(now, agent, &ended);
         }
         response
     }
 
-    /// Logs an order and its outcome.
+    /// Writes a line on an order.
     fn log_order(&mut self, received: &Received, outcome: &str) {
         let (verb, task, number, token) = match &received.order {
             Order::LongPoll { .. } => return,
@@ -153,7 +145,7 @@
         ));
     }
 
-    /// Writes a line to the minions' log.
+    /// Writes a line on what the minions did.
     pub(super) fn write_log(&mut self, text: &str) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = format!("{:.3} {text}", unix.as_secs_f64());
@@ -162,14 +154,13 @@
         }
     }
 
-    /// Records a broken promise.
     fn break_promise(&mut self, text: String) {
         self.write_log(&format!("promise broken: {text}"));
         self.outcome.broken.push(text);
     }
 
-    /// Checks what must hold when a minion starts a task; `before` is the run of the same task that
-    /// was active on the minion already.
+    /// What must hold whenever a minion starts a task; `before` is the run of the task that was
+    /// there already.
     fn check_start(
         &mut self,
         received: &Received,
@@ -206,7 +197,7 @@
         if is_acknowledged {
             broken.push("starts after a run of it had ended done");
         }
-        if std::mem::take(&mut self.minions[agent].overfilled) {
+        if std::mem::take(&mut self.minions[agent].is_overcommitted) {
             broken.push("overfills its minion");
         }
         for text in broken {
@@ -214,21 +205,18 @@
         }
     }
 
-    /// Records that the end of a run was acknowledged, unless the minion's lease has expired since
-    /// the end. The task must not have been started since, nor start again.
+    /// Takes note of an end, unless the minion's lease has lapsed since.
     fn check_acknowledged(&mut self, now: Duration, agent: u8, ended: &Ended) {
         let Some(run) = ended.run.as_ref().filter(|_| ended.ending() == Ending::Done) else {
             return;
         };
         let (task, minion) = (Task::read(run), &self.minions[usize::from(agent)]);
-        let (born_ms, lapsed) = (minion.incarnation.born_ms, minion.lapsed);
+        let (born_ms, lapsed) = (minion.incarnation.born_ms, minion.last_expired_at);
         let is_same_run = |completion: &&mut Completion| {
             (completion.agent, completion.born_ms, completion.number) == (agent, born_ms, run.run)
                 && lapsed.is_none_or(|lapsed| lapsed < completion.at)
         };
-        let Some(completion) =
-            self.completions.get_mut(&task).into_iter().flatten().find(is_same_run)
-        else {
+        let Some(completion) = self.completions.get_mut(&task).into_iter().flatten().find(is_same_run) else {
             return;
         };
         completion.is_acknowledged = true;
@@ -237,23 +225,23 @@
         }
     }
 
-    /// Ends the tasks on minions whose lease has expired.
+    /// Ends what runs on minions whose lease has run out.
     pub(super) fn expire_leases(&mut self, now: Duration) {
         for agent in 0..usize::from(AGENTS) {
             let minion = &mut self.minions[agent];
-            if now < minion.lease {
+            if now < minion.lease_expires_at {
                 continue;
             }
-            minion.lapsed = Some(now);
+            minion.last_expired_at = Some(now);
             let count = minion.active.len();
-            minion.lapse(&self.truth);
+            minion.expire_lease(&self.truth);
             if count > 0 {
                 self.write_log(&format!("m{agent} lease expired, {count} tasks end"));
             }
         }
     }
 
-    /// Lets tasks make progress, carries out late orders that are due, and answers long polls.
+    /// Lets tasks make progress, carries out what is late and answers holds.
     pub(super) fn advance_minions(&mut self, now: Duration, elapsed: Duration) {
         let mut runs: BTreeMap<(Task, RunNumber), Vec<(usize, Task)>> = BTreeMap::new();
         for (agent, minion) in self.minions.iter().enumerate() {
@@ -273,13 +261,11 @@
         let mut due: Vec<(Duration, Received)> = due;
         due.sort_by_key(|(at, _)| *at);
         for (_, received) in due {
-            // The response is dropped, since late orders are not answered.
+            // Nobody is told: the answer was given up.
             let _ = self.carry_out(now, &received);
         }
         for poll in std::mem::take(&mut self.long_polls) {
-            if now >= poll.deadline
-                || !self.minions[usize::from(poll.received.agent)].ended.is_empty()
-            {
+            if now >= poll.deadline || !self.minions[usize::from(poll.received.agent)].ended.is_empty() {
                 let response = self.carry_out(now, &poll.received);
                 self.hub.answer(poll.caller, &response);
             } else {
@@ -288,7 +274,7 @@
         }
     }
 
-    /// Lets a run make progress: a single task, or the gang members that are present.
+    /// Lets a run make progress: one task, or the members of a gang that are there.
     fn advance_run(
         &mut self,
         now: Duration,
@@ -304,22 +290,21 @@
         members_seen.extend(&present);
         let is_stopped =
             members.iter().any(|member| active(member).stop_at.is_some_and(|stop| now >= stop));
-        let has_waited = |member: &(usize, Task)| now >= active(member).since + GANG_TIMEOUT;
+        let has_waited = |member: &(usize, Task)| now >= active(member).started_at + GANG_TIMEOUT;
         let endings: Vec<Ending> = if is_stopped {
             let is_stop_requested = |member| active(member).stop_at.is_some();
-            let ending =
-                |member| if is_stop_requested(member) { Ending::Stopped } else { Ending::Broken };
+            let ending = |member| if is_stop_requested(member) { Ending::Stopped } else { Ending::Broken };
             members.iter().map(ending).collect()
         } else if members_seen.len() > present.len() {
             vec![Ending::Broken; members.len()]
         } else if is_complete || truth.members == 1 {
-            let done = members.iter().map(|member| active(member).done).max().unwrap_or_default()
-                + elapsed;
+            let done =
+                members.iter().map(|member| active(member).progress).max().unwrap_or_default() + elapsed;
             let is_done = done >= truth.work;
             for (agent, task) in members {
                 let minion = &mut self.minions[*agent];
                 if let Some(active) = minion.active.get_mut(task) {
-                    active.done += elapsed;
+                    active.progress += elapsed;
                 }
             }
             if !is_done {
@@ -332,8 +317,7 @@
         } else {
             return;
         };
-        let since =
-            members.iter().map(|member| self.minions[member.0].active[&member.1].since).min();
+        let since = members.iter().map(|member| self.minions[member.0].active[&member.1].started_at).min();
         if endings.contains(&Ending::Alone)
             && since.is_some_and(|since| since > self.faults_until + FAULT_AFTERMATH)
         {
@@ -344,36 +328,20 @@
         }
     }
 
-    /// Ends a task on its minion; an end with `done` is recorded for later checks.
-    fn end_task(
-        &mut self,
-        now: Duration,
-        agent: usize,
-        task: &Task,
-        ending: Ending,
-        truth: &Truth,
-    ) {
+    fn end_task(&mut self, now: Duration, agent: usize, task: &Task, ending: Ending, truth: &Truth) {
         let minion = &mut self.minions[agent];
         let Some(number) = minion.active.get(task).map(|active| active.number) else { return };
-        minion.end(task, ending, Some(truth));
+        minion.end_task(task, ending, Some(truth));
         let born_ms = minion.incarnation.born_ms;
         self.write_log(&format!("m{agent} end task={task} run={number} {}", ending.as_str_name()));
         if ending == Ending::Done {
             let (at, starts) = (now, Vec::new());
-            let completion = Completion {
-                agent: agent as u8,
-                born_ms,
-                number,
-                at,
-                is_acknowledged: false,
-                starts,
-            };
+            let completion = Completion { agent: agent as u8, born_ms, number, at, is_acknowledged: false, starts };
             self.completions.entry(task.clone()).or_default().push(completion);
         }
     }
 
-    /// Checks what must hold when a job is reported as complete: each of its tasks has ended with
-    /// `done`.
+    /// What must hold when a job is shown as complete: each of its tasks has ended `done`.
     pub(super) fn check_complete(&mut self, id: &str, tasks: u32) {
         let count = self.completions.keys().filter(|task| task.job == id).count();
         if count < tasks as usize {
@@ -381,8 +349,7 @@
         }
     }
 
-    /// Crashes a minion and starts its next incarnation, which has the same identifier or, if there
-    /// are late orders, possibly a new one.
+    /// Ends a minion's life without a word and begins another, under the same id or a new one.
     pub(super) fn crash(&mut self, agent: u8) {
         let minion = &mut self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms + 1;
@@ -397,8 +364,7 @@
         self.write_log(&format!("m{agent} crashed and restarted as id={id} born_ms={born_ms}"));
     }
 
-    /// Actual properties of a job's tasks: their run time, and the members of their gang (1 if they
-    /// are none).
+    /// What a task of a job is, whose tasks are so many members of a gang.
     pub(super) fn task_truth(work: Duration, members: u32) -> Truth {
         Truth {
             work,
@@ -407,7 +373,7 @@
             members,
             wants_one_rack: false,
             checkpoints: false,
-            room: Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 1 },
+            resources: Resources { millicores: 1_000, memory_mib: 1_000, accelerators: 1 },
         }
     }
 }
