--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -75,7 +75,8 @@
         };
         let minion = &self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms;
-        let received = Received { agent, order, minion_id: platform::minion_id(request), born_ms, at: now };
+        let received =
+            Received { agent, order, minion_id: platform::minion_id(request), born_ms, at: now };
         match &received.order {
             Order::LongPoll { wait, .. } if !wait.is_zero() && minion.ended.is_empty() => {
                 let deadline = now + *wait;
@@ -87,7 +88,10 @@
                 let is_due = now >= self.late_from && now < self.late_until;
                 if is_due && self.trouble_rng.random_bool(self.late_share) {
                     let delay = Duration::from_millis(self.trouble_rng.random_range(LATE_DELAY_MS));
-                    self.log_order(&received, &format!("not answered, carried out {} ms later", delay.as_millis()));
+                    self.log_order(
+                        &received,
+                        &format!("not answered, carried out {} ms later", delay.as_millis()),
+                    );
                     self.faults_until = self.faults_until.max(now + delay);
                     self.late_orders.push((now + delay, received));
                     return;
@@ -111,7 +115,8 @@
         };
         let run = run.map(|run| (Task::read(&run), run.run));
         let before = run.as_ref().and_then(|(task, _)| Some(minion.active.get(task)?.number));
-        let (response, is_carried_out) = platform::execute(minion, now, &received.order, &self.truth);
+        let (response, is_carried_out) =
+            platform::execute(minion, now, &received.order, &self.truth);
         if !matches!(received.order, Order::LongPoll { .. }) {
             let body = String::from_utf8_lossy(&response.body).into_owned();
             self.log_order(received, &format!("{} {body}", response.status));
@@ -216,7 +221,9 @@
             (completion.agent, completion.born_ms, completion.number) == (agent, born_ms, run.run)
                 && lapsed.is_none_or(|lapsed| lapsed < completion.at)
         };
-        let Some(completion) = self.completions.get_mut(&task).into_iter().flatten().find(is_same_run) else {
+        let Some(completion) =
+            self.completions.get_mut(&task).into_iter().flatten().find(is_same_run)
+        else {
             return;
         };
         completion.is_acknowledged = true;
@@ -265,7 +272,9 @@
             let _ = self.carry_out(now, &received);
         }
         for poll in std::mem::take(&mut self.long_polls) {
-            if now >= poll.deadline || !self.minions[usize::from(poll.received.agent)].ended.is_empty() {
+            if now >= poll.deadline
+                || !self.minions[usize::from(poll.received.agent)].ended.is_empty()
+            {
                 let response = self.carry_out(now, &poll.received);
                 self.hub.answer(poll.caller, &response);
             } else {
@@ -293,13 +302,15 @@
         let has_waited = |member: &(usize, Task)| now >= active(member).started_at + GANG_TIMEOUT;
         let endings: Vec<Ending> = if is_stopped {
             let is_stop_requested = |member| active(member).stop_at.is_some();
-            let ending = |member| if is_stop_requested(member) { Ending::Stopped } else { Ending::Broken };
+            let ending =
+                |member| if is_stop_requested(member) { Ending::Stopped } else { Ending::Broken };
             members.iter().map(ending).collect()
         } else if members_seen.len() > present.len() {
             vec![Ending::Broken; members.len()]
         } else if is_complete || truth.members == 1 {
             let done =
-                members.iter().map(|member| active(member).progress).max().unwrap_or_default() + elapsed;
+                members.iter().map(|member| active(member).progress).max().unwrap_or_default()
+                    + elapsed;
             let is_done = done >= truth.work;
             for (agent, task) in members {
                 let minion = &mut self.minions[*agent];
@@ -317,7 +328,8 @@
         } else {
             return;
         };
-        let since = members.iter().map(|member| self.minions[member.0].active[&member.1].started_at).min();
+        let since =
+            members.iter().map(|member| self.minions[member.0].active[&member.1].started_at).min();
         if endings.contains(&Ending::Alone)
             && since.is_some_and(|since| since > self.faults_until + FAULT_AFTERMATH)
         {
@@ -328,7 +340,14 @@
         }
     }
 
-    fn end_task(&mut self, now: Duration, agent: usize, task: &Task, ending: Ending, truth: &Truth) {
+    fn end_task(
+        &mut self,
+        now: Duration,
+        agent: usize,
+        task: &Task,
+        ending: Ending,
+        truth: &Truth,
+    ) {
         let minion = &mut self.minions[agent];
         let Some(number) = minion.active.get(task).map(|active| active.number) else { return };
         minion.end_task(task, ending, Some(truth));
@@ -336,7 +355,14 @@
         self.write_log(&format!("m{agent} end task={task} run={number} {}", ending.as_str_name()));
         if ending == Ending::Done {
             let (at, starts) = (now, Vec::new());
-            let completion = Completion { agent: agent as u8, born_ms, number, at, is_acknowledged: false, starts };
+            let completion = Completion {
+                agent: agent as u8,
+                born_ms,
+                number,
+                at,
+                is_acknowledged: false,
+                starts,
+            };
             self.completions.entry(task.clone()).or_default().push(completion);
         }
     }
