--- a/crates/proofs/examples/policy_jobs.rs
+++ b/crates/proofs/examples/policy_jobs.rs
@@ -1,5 +1,5 @@
-//! Days of load without faults, drawn from seeds: how callers are served, by site and by setting
-//! of the policy, side by side.
+//! Compares how well callers are served, by site and by setting of the policy, in runs without
+//! faults whose load is drawn from seeds.
 
 use std::{process, thread, time::Duration};
 
@@ -8,58 +8,58 @@
     baseline::{self, Order},
     figures::{self, Figures},
     load::{self, Site},
-    sites, world,
+    simulation, sites,
 };
 
-/// Runs days of load and prints how callers were served: mean and standard error over the seeds.
+/// Simulates runs and prints how well callers were served: mean and standard error over the seeds.
 #[derive(argh::FromArgs)]
 struct Args {
     /// first seed
     #[argh(option, default = "1")]
     first: u64,
-    /// seeds
+    /// number of seeds
     #[argh(option, default = "40")]
     seeds: u64,
-    /// load against the sites' usual; may be given more than once
+    /// factor on the sites' usual load; may be given more than once
     #[argh(option)]
     scale: Vec<f64>,
-    /// logarithm of the factor by which declared times are off; may be given more than once;
-    /// without it they are as usual at each site
+    /// logarithm of the largest factor by which declared run times are wrong; may be given more than
+    /// once; without it, they are as wrong as is usual at each site
     #[argh(option)]
     error: Vec<f64>,
     /// how many times faster the fastest worker is than the slowest; may be given more than once
     #[argh(option)]
     speeds: Vec<f64>,
-    /// mechanisms that a setting switches off, separated by commas; may be given more than once,
-    /// each time for one more setting beside the one with all on
+    /// mechanisms of the policy to switch off, separated by commas; may be given more than once, each
+    /// time for one more setting to compare with the one that has all mechanisms on
     #[argh(option)]
     off: Vec<String>,
-    /// show first-fit and backfill as well
+    /// simulate the baselines first-fit and backfill as well
     #[argh(switch)]
     baselines: bool,
-    /// only the site of this name
+    /// simulate only the site of this name
     #[argh(option)]
     site: Option<String>,
-    /// the deployment once grown instead of today's
+    /// simulate the deployment after growth instead of today's
     #[argh(switch)]
     grown: bool,
-    /// the deployment of hundreds of machines instead of today's
+    /// simulate the deployment of hundreds of machines instead of today's
     #[argh(switch)]
     large: bool,
-    /// print the log of one seed instead
+    /// print the log of each run as well
     #[argh(switch)]
     story: bool,
 }
 
-const LENGTH: Duration = Duration::from_secs(34);
-const FINISH: Duration = Duration::from_secs(60);
-/// How often callers come again with a job that was not taken in.
+const LOAD_DURATION: Duration = Duration::from_secs(34);
+const END: Duration = Duration::from_secs(60);
+/// How often callers submit a refused job again.
 const RETRIES: u32 = 4;
 const THREADS: u64 = 5;
-/// What each thrown-away processor second takes from a day's worth; worth is 0 to 1.
+/// What each wasted processor second takes from a run's score, which is at most 1.
 const WASTE_PRICE: f64 = 2.1e-5;
 
-/// One way to serve a load.
+/// Scheduler to compare.
 #[derive(Clone, Debug)]
 enum Setting {
     Policy(String, Policy),
@@ -75,44 +75,49 @@
     }
 }
 
-/// The load and the workers of a day.
+/// Parameters of the load and the workers.
 #[derive(Clone, Copy, Debug)]
-struct Day {
+struct Scenario {
     scale: f64,
     error: Option<f64>,
     speeds: f64,
 }
 
-fn play(site: &Site, seed: u64, day: Day, setting: &Setting, story: bool) -> Figures {
-    let arrivals = load::draw_declared(site, seed, LENGTH, day.scale, day.error);
+fn simulate(site: &Site, seed: u64, scenario: Scenario, setting: &Setting, story: bool) -> Figures {
+    let arrivals = load::draw_declared(site, seed, LOAD_DURATION, scenario.scale, scenario.error);
     let policy = match setting {
-        Setting::Baseline(order) => return baseline::play(site, &arrivals, *order),
+        Setting::Baseline(order) => return baseline::simulate(site, &arrivals, *order),
         Setting::Policy(_, policy) => *policy,
     };
-    let options =
-        world::Options { site, arrivals: arrivals.clone(), seed, policy, speeds: day.speeds };
-    let mut world = world::World::new(options);
-    world.retries = RETRIES;
-    world.run_until(FINISH);
+    let options = simulation::Options {
+        site,
+        arrivals: arrivals.clone(),
+        seed,
+        policy,
+        speeds: scenario.speeds,
+    };
+    let mut sim = simulation::Simulation::new(options);
+    sim.retries = RETRIES;
+    sim.run_until(END);
     if story {
-        for line in &world.log {
+        for line in &sim.log {
             println!("{line}");
         }
     }
-    for broken in &world.broken {
-        println!("{} seed={seed}: {broken}", site.name);
+    for violation in &sim.violations {
+        println!("{} seed={seed}: {violation}", site.name);
     }
-    figures::figures(site, &arrivals, &world)
+    figures::figures(site, &arrivals, &sim)
 }
 
-/// Worth of a day as the users' weights have it.
-fn worth(day: &Figures) -> f64 {
-    let least = day.kinds.iter().copied().fold(1.0, f64::min);
-    (0.45 * day.mean + 0.5 * day.windows + 0.15 * least) / 1.1 - day.waste * WASTE_PRICE
+/// Score of a run, by the users' weights.
+fn score(run: &Figures) -> f64 {
+    let min_share = run.kinds.iter().copied().fold(1.0, f64::min);
+    (0.45 * run.mean + 0.5 * run.windows + 0.15 * min_share) / 1.1 - run.waste * WASTE_PRICE
 }
 
-/// Plays all seeds, on a few threads.
-fn play_all(args: &Args, site: &Site, day: Day, setting: &Setting) -> Vec<Figures> {
+/// Simulates all seeds on [`THREADS`] threads.
+fn simulate_all(args: &Args, site: &Site, scenario: Scenario, setting: &Setting) -> Vec<Figures> {
     let seeds: Vec<u64> = (args.first..args.first + args.seeds).collect();
     let share = seeds.len().div_ceil(THREADS as usize).max(1);
     thread::scope(|scope| {
@@ -120,34 +125,39 @@
             .chunks(share)
             .map(|part| {
                 scope.spawn(move || -> Vec<Figures> {
-                    part.iter().map(|seed| play(site, *seed, day, setting, args.story)).collect()
+                    part.iter()
+                        .map(|seed| simulate(site, *seed, scenario, setting, args.story))
+                        .collect()
                 })
             })
             .collect();
-        parts.into_iter().flat_map(|part| part.join().expect("a day ends")).collect()
+        parts
+            .into_iter()
+            .flat_map(|part| part.join().expect("the simulation does not panic"))
+            .collect()
     })
 }
 
-fn show(site: &Site, day: Day, setting: &Setting, figures: &[Figures]) {
+fn print_row(site: &Site, scenario: Scenario, setting: &Setting, figures: &[Figures]) {
     let count = figures.len() as f64;
-    let mean = |of: &dyn Fn(&Figures) -> f64| figures.iter().map(of).sum::<f64>() / count;
-    let whole = mean(&worth);
-    let square = mean(&|it: &Figures| (worth(it) - whole).powi(2));
-    let error = day.error.map_or("usual".to_owned(), |error| format!("{error:.1}"));
+    let mean_of = |of: &dyn Fn(&Figures) -> f64| figures.iter().map(of).sum::<f64>() / count;
+    let mean_score = mean_of(&score);
+    let variance = mean_of(&|it: &Figures| (score(it) - mean_score).powi(2));
+    let error = scenario.error.map_or("usual".to_owned(), |error| format!("{error:.1}"));
     println!(
-        "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {whole:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
+        "{:15} {:18} load {:.1} error {error:5} speeds {:.1} worth {mean_score:.4} +- {:.4} mean {:.3} earned {:.3} windows {:.3} kinds {:.3} {:.3} {:.3} waste {:.0}",
         site.name,
         setting.name(),
-        day.scale,
-        day.speeds,
-        (square / count).sqrt(),
-        mean(&|it| it.mean),
-        mean(&|it| it.mean) * day.scale,
-        mean(&|it| it.windows),
-        mean(&|it| it.kinds[0]),
-        mean(&|it| it.kinds[1]),
-        mean(&|it| it.kinds[2]),
-        mean(&|it| it.waste),
+        scenario.scale,
+        scenario.speeds,
+        (variance / count).sqrt(),
+        mean_of(&|it| it.mean),
+        mean_of(&|it| it.mean) * scenario.scale,
+        mean_of(&|it| it.windows),
+        mean_of(&|it| it.kinds[0]),
+        mean_of(&|it| it.kinds[1]),
+        mean_of(&|it| it.kinds[2]),
+        mean_of(&|it| it.waste),
     );
 }
 
@@ -184,16 +194,20 @@
     let speeds = if args.speeds.is_empty() { vec![1.0] } else { args.speeds.clone() };
     let settings = settings(&args);
     let wanted = |site: &&&Site| args.site.as_ref().is_none_or(|name| name == site.name);
-    let mut days = Vec::new();
+    let mut scenarios = Vec::new();
     for scale in scales {
         for error in &errors {
-            days.extend(speeds.iter().map(|speeds| Day { scale, error: *error, speeds: *speeds }));
+            scenarios.extend(speeds.iter().map(|speeds| Scenario {
+                scale,
+                error: *error,
+                speeds: *speeds,
+            }));
         }
     }
     for site in sites.iter().filter(wanted) {
-        for day in &days {
+        for scenario in &scenarios {
             for setting in &settings {
-                show(site, *day, setting, &play_all(&args, site, *day, setting));
+                print_row(site, *scenario, setting, &simulate_all(&args, site, *scenario, setting));
             }
         }
     }
