--- a/crates/soak/src/soak/minions.rs
+++ b/crates/soak/src/soak/minions.rs
@@ -1,4 +1,5 @@
-//! The minions' side: orders, some of them late, tasks that make progress, and what must hold.
+//! The simulated minions: carry out orders, some of them late, let tasks make progress, and check
+//! what must hold at the start and end of tasks.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,41 +24,42 @@
 use super::Soak;
 use crate::fleet::AGENTS;
 
-/// Time after which a member of a gang that waits for the others ends.
+/// Time for which a gang member waits for the others before it ends.
 const GANG_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time after the end of a fault in which it may still have effects.
+/// Time after the end of a fault within which it may still have effects.
 const FAULT_AFTERMATH: Duration = Duration::from_secs(5);
 
-/// Milliseconds after which a late order is carried out.
+/// Delays of late orders, in milliseconds.
 const LATE_DELAY_MS: std::ops::Range<u64> = 2_000..6_000;
 
-/// An order to a minion, as it came.
+/// An order as a minion received it.
 #[derive(Clone, Debug)]
 pub(super) struct Received {
     agent: u8,
     order: Order,
-    /// Life that it names.
+    /// Identifier that the minion must have to carry it out; empty if any minion may.
     minion_id: String,
-    /// Start of the life that was there when it came.
+    /// Start time of the incarnation that received it.
     born_ms: u64,
     at: Duration,
 }
 
-/// A call that waits for an end.
+/// A long poll that waits for the end of a task.
 pub(super) struct LongPoll {
     pub(super) caller: CallerId,
     received: Received,
     deadline: Duration,
 }
 
-/// An end that was `done`.
+/// A run of a task that ended with `done`.
 pub(super) struct Completion {
     agent: u8,
     born_ms: u64,
     number: RunNumber,
     at: Duration,
+    /// The end was acknowledged to the minion.
     is_acknowledged: bool,
-    /// Starts of the same task since.
+    /// Descriptions of the starts of the same task since.
     starts: Vec<String>,
 }
 
@@ -102,6 +104,7 @@
         self.hub.answer(caller, &response);
     }
 
+    /// Applies an order to its minion, checks the result and returns the response.
     fn carry_out(&mut self, now: Duration, received: &Received) -> Response {
         let agent = received.agent;
         let minion = &mut self.minions[usize::from(agent)];
@@ -132,7 +135,7 @@
         response
     }
 
-    /// Writes a line on an order.
+    /// Logs an order and its outcome.
     fn log_order(&mut self, received: &Received, outcome: &str) {
         let (verb, task, number, token) = match &received.order {
             Order::LongPoll { .. } => return,
@@ -150,7 +153,7 @@
         ));
     }
 
-    /// Writes a line on what the minions did.
+    /// Writes a line to the minions' log.
     pub(super) fn write_log(&mut self, text: &str) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = format!("{:.3} {text}", unix.as_secs_f64());
@@ -159,13 +162,14 @@
         }
     }
 
+    /// Records a broken promise.
     fn break_promise(&mut self, text: String) {
         self.write_log(&format!("promise broken: {text}"));
         self.outcome.broken.push(text);
     }
 
-    /// What must hold whenever a minion starts a task; `before` is the run of the task that was
-    /// there already.
+    /// Checks what must hold when a minion starts a task; `before` is the run of the same task that
+    /// was active on the minion already.
     fn check_start(
         &mut self,
         received: &Received,
@@ -210,7 +214,8 @@
         }
     }
 
-    /// Takes note of an end, unless the minion's lease has lapsed since.
+    /// Records that the end of a run was acknowledged, unless the minion's lease has expired since
+    /// the end. The task must not have been started since, nor start again.
     fn check_acknowledged(&mut self, now: Duration, agent: u8, ended: &Ended) {
         let Some(run) = ended.run.as_ref().filter(|_| ended.ending() == Ending::Done) else {
             return;
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Ends what runs on minions whose lease has run out.
+    /// Ends the tasks on minions whose lease has expired.
     pub(super) fn expire_leases(&mut self, now: Duration) {
         for agent in 0..usize::from(AGENTS) {
             let minion = &mut self.minions[agent];
@@ -248,7 +253,7 @@
         }
     }
 
-    /// Lets tasks make progress, carries out what is late and answers holds.
+    /// Lets tasks make progress, carries out late orders that are due, and answers long polls.
     pub(super) fn advance_minions(&mut self, now: Duration, elapsed: Duration) {
         let mut runs: BTreeMap<(Task, RunNumber), Vec<(usize, Task)>> = BTreeMap::new();
         for (agent, minion) in self.minions.iter().enumerate() {
@@ -268,7 +273,7 @@
         let mut due: Vec<(Duration, Received)> = due;
         due.sort_by_key(|(at, _)| *at);
         for (_, received) in due {
-            // Nobody is told: the answer was given up.
+            // The response is dropped, since late orders are not answered.
             let _ = self.carry_out(now, &received);
         }
         for poll in std::mem::take(&mut self.long_polls) {
@@ -283,7 +288,7 @@
         }
     }
 
-    /// Lets a run make progress: one task, or the members of a gang that are there.
+    /// Lets a run make progress: a single task, or the gang members that are present.
     fn advance_run(
         &mut self,
         now: Duration,
@@ -340,6 +345,7 @@
         }
     }
 
+    /// Ends a task on its minion; an end with `done` is recorded for later checks.
     fn end_task(
         &mut self,
         now: Duration,
@@ -367,7 +373,8 @@
         }
     }
 
-    /// What must hold when a job is shown as complete: each of its tasks has ended `done`.
+    /// Checks what must hold when a job is reported as complete: each of its tasks has ended with
+    /// `done`.
     pub(super) fn check_complete(&mut self, id: &str, tasks: u32) {
         let count = self.completions.keys().filter(|task| task.job == id).count();
         if count < tasks as usize {
@@ -375,7 +382,8 @@
         }
     }
 
-    /// Ends a minion's life without a word and begins another, under the same id or a new one.
+    /// Crashes a minion and starts its next incarnation, which has the same identifier or, if there
+    /// are late orders, possibly a new one.
     pub(super) fn crash(&mut self, agent: u8) {
         let minion = &mut self.minions[usize::from(agent)];
         let born_ms = minion.incarnation.born_ms + 1;
@@ -390,7 +398,8 @@
         self.write_log(&format!("m{agent} crashed and restarted as id={id} born_ms={born_ms}"));
     }
 
-    /// What a task of a job is, whose tasks are so many members of a gang.
+    /// Actual properties of a job's tasks: their run time, and the members of their gang (1 if they
+    /// are none).
     pub(super) fn task_truth(work: Duration, members: u32) -> Truth {
         Truth {
             work,
