--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -1,5 +1,8 @@
 //! Resources of a worker and the gangs that use them; the only authority over the worker's
 //! accelerators.
+//!
+//! A planner sends a *hold* to reserve resources for the tasks of an attempt on this worker. A
+//! granted hold is a reservation, which a lease of the coordinator turns into running tasks.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -43,8 +46,8 @@
 }
 
 impl Ledger {
-    /// Creates a ledger without members. `lease` is the time for which one renewal counts,
-    /// `retention` how long ended members are kept.
+    /// Creates a ledger without members. `lease` is the duration of the lease that one renewal
+    /// grants, `retention` how long ended members are kept.
     pub fn new(capacity: resource::Amount, lease: Duration, retention: Duration) -> Self {
         Ledger {
             capacity,
@@ -129,7 +132,7 @@
         own.map(|member| member.need.accelerators).sum()
     }
 
-    /// Decides on a hold. A repeated hold gets a reply that tells its current state.
+    /// Decides on a hold. A repeated hold gets a reply with its current state.
     pub fn hold(&mut self, now: Duration, hold: &Hold, planner: &Peer) {
         if let Some(member) = self.members.get(&hold.attempt) {
             let (state, reason) = Self::reply_to_repeated(member);
@@ -227,7 +230,8 @@
         !member.is_guaranteed || self.guaranteed_in_use(&member.organisation) > bound
     }
 
-    /// Evicts the cheapest borrowers that free enough resources for all waiting holds.
+    /// Evicts enough reclaimable members to free the resources for all waiting holds. The order of
+    /// reclaim in the rules determines which are evicted first.
     fn evict_for_waiting(&mut self, now: Duration) {
         let claimed = self.claimed();
         let ending = self
@@ -294,6 +298,9 @@
     /// running one. A member that is being evicted keeps running until the end of its grace period,
     /// so that a slow checkpoint can be completed.
     ///
+    /// `heartbeat` is the sequence number of the member heartbeat that the lease answers; 0 starts
+    /// the tasks.
+    ///
     /// Guards against a delayed lease message. The extension counts from when the answered
     /// heartbeat was sent, by this agent's own clock, so that a late message can't keep a task of a
     /// stopped gang running. A lease never starts a member that was invalidated or whose
@@ -425,7 +432,9 @@
         live.map(|(attempt, _)| attempt).collect()
     }
 
-    /// Checks that no accelerator is used twice and that each guarantee can be reclaimed.
+    /// Checks that no more accelerators are used, or bound to guarantees, than the worker has, and
+    /// that reclaim can free the accelerators for all waiting holds. The latter is not required
+    /// while an organisation uses more than its guarantee, which may have been lowered.
     ///
     /// # Panics
     /// When the state of the ledger is inconsistent; the process must not continue.
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -8,8 +8,8 @@
 
 use crate::{job_table::JobTable, view};
 
-/// Time after which a caller that was refused because a queue is full or the store is unavailable
-/// may retry.
+/// Time after which a caller may retry that was refused for a temporary reason: the store is
+/// unavailable, a limit on the number of jobs is reached, or no worker is known.
 pub const RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Data that admission is based on.
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -57,7 +57,7 @@
     Unknown,
 }
 
-/// State of an attempt.
+/// An attempt, from the first request for resources until its outcome is resolved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// Job that it runs.
@@ -77,7 +77,7 @@
     /// Whether it ended because its resources were reclaimed.
     pub is_evicted: bool,
     /// Workers whose agents refused the hold.
-    pub refused_by: Vec<id::Process>,
+    pub refused_by: Vec<id::Worker>,
 }
 
 impl Attempt {
--- a/crates/entry/src/backoff.rs
+++ b/crates/entry/src/backoff.rs
@@ -5,8 +5,8 @@
 use sapphire_plan::health;
 use sapphire_wire::id;
 
-/// Delay before a job whose hold was refused is placed again, and before the worker that refused is
-/// used again.
+/// Delay before a job is placed again after an attempt that did not complete it, and before a
+/// worker whose agent refused a hold is used again.
 const REFUSED_DELAY: Duration = Duration::from_millis(300);
 /// Time for which a worker whose task failed or was lost is excluded from placement.
 const FAILED_DELAY: Duration = Duration::from_secs(5);
@@ -20,7 +20,7 @@
 }
 
 impl Backoff {
-    /// Delays a job whose hold was refused or whose attempt was lost.
+    /// Delays a job whose attempt did not complete it, for example because a hold was refused.
     pub fn delay_job(&mut self, now: Duration, job: &str) {
         self.jobs.insert(job.to_owned(), now + REFUSED_DELAY);
     }
@@ -62,7 +62,7 @@
         self.workers.keys().chain(self.health.quarantined(now)).cloned().collect()
     }
 
-    /// Quarantined workers: every task that they start fails.
+    /// Workers that are quarantined now because tasks of several jobs failed on them.
     pub fn quarantined(&self, now: Duration) -> Vec<&id::Worker> {
         self.health.quarantined(now).collect()
     }
--- a/crates/entry/src/bindings.rs
+++ b/crates/entry/src/bindings.rs
@@ -6,7 +6,7 @@
 
 use crate::{effect::Output, planner::Context, registry};
 
-/// Part of the log that lines of this module belong to.
+/// Part of the system that this module's log lines are written for.
 const LOG_PART: &str = "plan";
 
 /// Bindings in force, and the rules and workers that they were computed from.
--- a/crates/entry/src/effect.rs
+++ b/crates/entry/src/effect.rs
@@ -28,7 +28,7 @@
 /// A log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Part of the log that it belongs to: `route`, `plan`, `rules` or `member`.
+    /// Part of the system that it is written for: `route`, `plan`, `rules` or `member`.
     pub part: &'static str,
     /// Short text with key=value pairs.
     pub text: String,
--- a/crates/entry/src/job_table.rs
+++ b/crates/entry/src/job_table.rs
@@ -105,7 +105,7 @@
         self.writer.written()
     }
 
-    /// Whether the last write to the store got no reply.
+    /// Whether the last write to the store failed or got no reply.
     pub fn is_failing(&self) -> bool {
         self.writer.is_failing()
     }
@@ -189,7 +189,7 @@
             let jobs = job.map_or(pending.reply.jobs, |job| vec![job]);
             out.send(&pending.to, frame::Body::JobReply(JobReply { jobs, ..pending.reply }));
         }
-        let ended = self.waiters.keys().filter(|id| self.has_ended_for_good(id));
+        let ended = self.waiters.keys().filter(|id| self.can_report_end(id));
         let ended: Vec<id::Job> = ended.cloned().collect();
         for id in ended {
             for ((_, call), to) in self.waiters.remove(&id).unwrap_or_default() {
@@ -199,9 +199,10 @@
         }
     }
 
-    /// Whether a job has ended and this has been stored. While the store is unavailable, the
-    /// planner's own state, backed by the coordinator's memory, is sufficient.
-    fn has_ended_for_good(&self, id: &str) -> bool {
+    /// Whether callers may be sent the end of a job: it has ended and this has been stored. While
+    /// the store is unavailable, the planner's own state, backed by the coordinator's memory, is
+    /// sufficient.
+    fn can_report_end(&self, id: &str) -> bool {
         let is_ended = self.jobs.get(id).is_some_and(|job| view::is_ended(job.state()));
         is_ended && (self.is_failing() || self.is_stored(id))
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,9 @@
 //! Entry process, as a pure state machine.
 //!
 //! An entry accepts calls of callers and operators, routes requests to minions, and may plan the
-//! jobs of its region's cell. All input, including the current time, arrives as [`event::Event`]s;
-//! all output leaves as [`effect::Effect`]s. The crate performs no I/O.
+//! jobs of its region's cell. A cell consists of the workers of one region and the jobs that run on
+//! them. All input, including the current time, arrives as [`event::Event`]s; all output leaves as
+//! [`effect::Effect`]s. The crate performs no I/O.
 
 pub mod admission;
 pub mod answer;
--- a/crates/entry/src/machine.rs
+++ b/crates/entry/src/machine.rs
@@ -23,9 +23,9 @@
     job_calls, options, overview, peers, planner, registry, requests, rulebook,
 };
 
-/// Part of the log for lines about processes and their membership.
+/// Part of the system for log lines about processes and their membership.
 const LOG_MEMBER: &str = "member";
-/// Part of the log for lines about rules.
+/// Part of the system for log lines about rules.
 const LOG_RULES: &str = "rules";
 
 /// Purpose of a call to the store.
--- a/crates/entry/src/options.rs
+++ b/crates/entry/src/options.rs
@@ -19,7 +19,7 @@
     pub heartbeat: Duration,
     /// Time without a message after which a process is suspected of having failed.
     pub silence_timeout: Duration,
-    /// Lease of a running gang, and of the planner key in the store.
+    /// Duration of the lease of a running gang, and of the lease on the planner key in the store.
     pub lease: Duration,
     /// How long a reservation waits for the decision to start.
     pub hold_timeout: Duration,
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -21,7 +21,8 @@
     pub heartbeat: EntryBeat,
     /// When the last heartbeat arrived; `None` before the first.
     pub last_contact: Option<Duration>,
-    /// When another process first named it.
+    /// When it was added to the list or its last heartbeat arrived; zero if the settings name it
+    /// and none has arrived.
     pub added: Duration,
 }
 
@@ -99,8 +100,8 @@
 
     /// Planner of a region's cell among the reachable entries: the one with the highest epoch.
     pub fn planner(&self, now: Duration, region: &str) -> Option<(&Peer, &Epoch)> {
-        let plans = |entry: &&Entry| entry.heartbeat.region == region;
-        let planners = self.reachable(now).filter(plans).filter_map(|entry| {
+        let is_in_region = |entry: &&Entry| entry.heartbeat.region == region;
+        let planners = self.reachable(now).filter(is_in_region).filter_map(|entry| {
             let epoch = entry.heartbeat.planner.as_ref()?;
             Some((&entry.peer, epoch))
         });
--- a/crates/entry/src/planner/attempts.rs
+++ b/crates/entry/src/planner/attempts.rs
@@ -175,7 +175,7 @@
         self.mark_changed(id);
     }
 
-    /// Invalidates the attempts of a job that has ended by another attempt.
+    /// Invalidates the attempts of a job that another attempt has completed.
     pub(super) fn invalidate_attempts(&mut self, job: &str, out: &mut Output) {
         let own = self.attempts.iter().filter(|(_, attempt)| attempt.job == job);
         let own: Vec<id::Attempt> = own.map(|(id, _)| id.clone()).collect();
--- a/crates/entry/src/planner/mod.rs
+++ b/crates/entry/src/planner/mod.rs
@@ -30,7 +30,7 @@
 mod reports;
 mod starts;
 
-/// Part of the log that the planner's lines belong to.
+/// Part of the system that the planner's log lines are written for.
 const LOG_PART: &str = "plan";
 /// Key of a cell in the store.
 pub fn cell_key(region: &str) -> String {
@@ -66,8 +66,10 @@
     backoff: Backoff,
     wait_reasons: BTreeMap<id::Job, String>,
     estimates: Estimates,
-    /// When all agents are reviewed again.
+    /// When the bindings and the rules at the agents are next updated.
     next_review: Duration,
+    /// Whether the next tick does a scheduling pass, since jobs, workers or exclusions from
+    /// placement may have changed after the last one.
     needs_pass: bool,
 }
 
@@ -198,7 +200,7 @@
                 let cell = Cell::decode(value.bytes).unwrap_or_default();
                 return Status::Superseded(cell.epoch.unwrap_or_default().term);
             }
-            writer::Outcome::Retry => out.log(LOG_PART, "store write got no reply".to_owned()),
+            writer::Outcome::Retry => out.log(LOG_PART, "store write failed; retrying".to_owned()),
             writer::Outcome::Written(_) => {}
         }
         self.needs_pass = true;
@@ -233,8 +235,8 @@
         self.assert_invariants();
     }
 
-    /// Reviews all agents. Done once per heartbeat interval, since the cost grows with their
-    /// number.
+    /// Updates the bindings, and sends each agent whose rules are outdated the rules for its
+    /// worker. Done once per heartbeat interval, since the cost grows with the number of agents.
     fn review_agents(&mut self, now: Duration, context: &Context<'_>, out: &mut Output) {
         let fleet = self.fleet(now, context);
         if self.bindings.update(&fleet, &self.options.region, context, out) {
@@ -263,11 +265,17 @@
             assert!(seen.insert(&attempt.job), "job {} has two attempts", attempt.job);
             let job = self.table.get(&attempt.job);
             let recorded = job.and_then(|job| job.attempt.as_ref()).map(|recorded| &recorded.id);
-            assert_eq!(recorded, Some(id), "attempt {id} is not its job's");
+            assert_eq!(recorded, Some(id), "attempt {id} is not the one recorded in its job");
         }
         for job in self.table.values() {
             let is_live = matches!(job.state(), JobState::JobStarting | JobState::JobRunning);
-            assert_eq!(is_live, seen.contains(&job.id), "job {} {:?}", job.id, job.state());
+            assert_eq!(
+                is_live,
+                seen.contains(&job.id),
+                "job {} is in state {:?}, which does not match its attempt in progress",
+                job.id,
+                job.state()
+            );
         }
     }
 
--- a/crates/entry/src/planner/reports.rs
+++ b/crates/entry/src/planner/reports.rs
@@ -75,14 +75,14 @@
             job.may_have_run = true;
             if report.state() == GangState::GangDone {
                 self.invalidate_attempts(&id, out);
-                self.end_done_elsewhere(now, &id, &report.attempt, out);
+                self.end_done_by_earlier_planner(now, &id, &report.attempt, out);
             }
         }
         self.acknowledge(from, &report.attempt, out);
     }
 
-    /// Handles that the coordinator of a job whose outcome was unknown reports again: the job takes
-    /// the state that it reports.
+    /// Handles a coordinator's report on a job whose outcome was unknown: the job takes the
+    /// reported state.
     pub(super) fn resume_reported(
         &mut self,
         now: Duration,
@@ -102,7 +102,7 @@
     }
 
     /// Ends a job that was completed by an attempt of an earlier planner.
-    pub(super) fn end_done_elsewhere(
+    pub(super) fn end_done_by_earlier_planner(
         &mut self,
         now: Duration,
         id: &str,
--- a/crates/entry/src/requests.rs
+++ b/crates/entry/src/requests.rs
@@ -19,7 +19,7 @@
     event, options, registry,
 };
 
-/// Part of the log that lines of this module belong to.
+/// Part of the system that this module's log lines are written for.
 const LOG_PART: &str = "route";
 /// Longest wait for a free slot before a request is shed.
 const QUEUE_WAIT: Duration = Duration::from_millis(500);
--- a/crates/entry/src/rulebook.rs
+++ b/crates/entry/src/rulebook.rs
@@ -195,7 +195,7 @@
     /// Handles the reply to a write, or to the read that resolves one. Returns the next call, or
     /// the caller's answer.
     ///
-    /// Guards against a write that took effect although its reply was lost. The caller is told
+    /// Guards against a write that took effect although its reply was lost. The answer is
     /// "accepted" only if the document's write identifier or its history contains the write, and
     /// "not accepted" only after the key has changed without it.
     pub fn handle_write_reply(
--- a/crates/front/src/leader.rs
+++ b/crates/front/src/leader.rs
@@ -278,7 +278,8 @@
                 address: self.options.address.clone(),
                 term,
                 version,
-                store_age_ms: u64::try_from(self.reach.age(now).as_millis()).unwrap_or(u64::MAX),
+                store_age_ms: u64::try_from(self.reach.time_since_direct_answer(now).as_millis())
+                    .unwrap_or(u64::MAX),
             };
             let address = leader.address.clone();
             self.effects.push(Effect::Feed { address, poll });
--- a/crates/front/src/machine.rs
+++ b/crates/front/src/machine.rs
@@ -67,7 +67,8 @@
     pub(crate) stale_since: Option<Duration>,
     /// The process has been asked to terminate.
     pub(crate) is_terminating: bool,
-    /// Shortest time in which the store has answered a read or a freshness check.
+    /// Shortest time from sending a read of the configuration or a freshness check to its reply,
+    /// whether it succeeded or failed.
     pub(crate) min_store_latency: Duration,
     /// Effects collected for the next return value.
     pub(crate) effects: Vec<Effect>,
@@ -174,9 +175,9 @@
         }
         if *way == Way::Straight && self.reach.record_direct(now, is_answered) {
             let change = if is_answered {
-                "reachable again"
+                "answers direct calls again"
             } else {
-                "unreachable; relaying calls through other entries"
+                "does not answer direct calls; relaying calls through other entries, if any"
             };
             self.log(format!("store {change}"));
         }
--- a/crates/front/src/reach.rs
+++ b/crates/front/src/reach.rs
@@ -104,8 +104,8 @@
         self.failures >= UNREACHABLE_FAILURES && !is_recent
     }
 
-    /// Time since a direct call was last answered.
-    pub fn age(&self, now: Duration) -> Duration {
+    /// Time since a direct call was last answered; [`Duration::MAX`] if none was.
+    pub fn time_since_direct_answer(&self, now: Duration) -> Duration {
         self.direct_answered
             .map_or(Duration::MAX, |direct_answered| now.saturating_sub(direct_answered))
     }
--- a/crates/planner/src/startup.rs
+++ b/crates/planner/src/startup.rs
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Returns whether the items of a refused write show that another planner has taken over.
+    /// Returns whether the items of a refused write show that another planner has taken over. If
+    /// so, logs the end of the term and emits [`Effect::Deposed`].
     pub(crate) fn is_deposed_by(&mut self, items: &[Item]) -> bool {
         let lead = items.iter().find(|item| item.key == keys::LEAD);
         let is_deposed = lead.is_none_or(|item| item.revision != self.term);
@@ -260,10 +261,10 @@
             return;
         }
         let workers = &self.workers;
-        let is_known = |name: &String| {
+        let is_accounted_for = |name: &String| {
             workers.get(name).is_some_and(|worker| worker.is_fenced || worker.is_vacant)
         };
-        self.startup.unaccounted.retain(|name| !is_known(name));
+        self.startup.unaccounted.retain(|name| !is_accounted_for(name));
         let wait = self.options.lease_expiry() + options::MAX_STORE_OUTAGE;
         if !self.startup.unaccounted.is_empty() && now.steady < self.startup.began + wait {
             return;
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -104,7 +104,8 @@
     ///
     /// Guards against a write that took effect while its answer was lost: the retry then meets a
     /// conflict, and the stored value contains the identifier of the first write. That write counts
-    /// as successful, so nothing is written twice and the key is not taken for another process's.
+    /// as successful, so nothing is written twice and the conflict is not attributed to
+    /// another process.
     pub fn reply(
         &mut self,
         now: Duration,
