--- a/crates/rules/src/line.rs
+++ b/crates/rules/src/line.rs
@@ -99,7 +99,7 @@
         self.known.push(key);
         let Some(word) = self.values.remove(key) else {
             if default.is_none() {
-                self.fault(self.end, format!("`{key}=` is missing; must be {allowed}"));
+                self.fault(self.end, format!("`{key}=` is missing; give {allowed}"));
             }
             return default;
         };
@@ -125,7 +125,7 @@
 
     /// Reads the value of a key as a duration with a unit, up to `max`.
     pub(crate) fn duration(&mut self, key: &'static str, max: Duration) -> Duration {
-        let allowed = format!("a duration with a unit, up to {}", humantime::format_duration(max));
+        let allowed = format!("a duration with its unit up to {}", humantime::format_duration(max));
         let parse = |text: &str| humantime::parse_duration(text).ok().filter(|d| *d <= max);
         self.value(key, None, &allowed, parse).unwrap_or_default()
     }
