--- a/crates/front/tests/entry/mod.rs
+++ b/crates/front/tests/entry/mod.rs
@@ -15,38 +15,38 @@
 };
 use sapphire_store::call::{Item, Reply, Value};
 
-use crate::harness::{TestEntry, is_refused, ms, submit_one_step};
+use crate::harness::{Fixture, is_refused, ms, submit_one_step};
 
 /// Guards against a caller that drops its work because it is wrongly told that its job does not
 /// exist. Only a read of the store that can't be stale shows that.
 #[test]
 fn a_job_is_reported_missing_only_after_a_read_of_the_store() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", Action::Read), None);
-    entry.store_reply(
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", Action::Read), None);
+    fixture.store_reply(
         1_150,
         1_100,
         Operation::LookUp("1".to_owned()),
         Reply::Value(Value::default()),
     );
-    assert_eq!(entry.last_answer(), Some(Answer::NoJob));
-    assert_eq!(entry.request(1_200, "/q/2", "k", Action::Read), None);
+    assert_eq!(fixture.last_answer(), Some(Answer::NoJob));
+    assert_eq!(fixture.request(1_200, "/q/2", "k", Action::Read), None);
     let unknown = Reply::Unavailable("no answer".to_owned());
-    entry.store_reply(1_250, 1_200, Operation::LookUp("2".to_owned()), unknown);
-    assert_eq!(entry.last_answer(), None, "the look-up is sent again");
-    entry.handle(9_000, Event::Tick);
-    assert!(is_refused(entry.last_answer().as_ref()));
+    fixture.store_reply(1_250, 1_200, Operation::LookUp("2".to_owned()), unknown);
+    assert_eq!(fixture.last_answer(), None, "the look-up is sent again");
+    fixture.handle(9_000, Event::Tick);
+    assert!(is_refused(fixture.last_answer().as_ref()));
 }
 
 #[test]
 fn a_job_is_accepted_when_it_is_durable() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", submit_one_step()), None);
-    entry.store_reply(1_150, 1_100, Operation::Submit(vec!["1".to_owned()]), Reply::Committed(8));
-    assert_eq!(entry.last_answer(), Some(Answer::Accepted));
-    let state = entry.request(1_200, "/q/1", "k", Action::Read);
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", submit_one_step()), None);
+    fixture.store_reply(1_150, 1_100, Operation::Submit(vec!["1".to_owned()]), Reply::Committed(8));
+    assert_eq!(fixture.last_answer(), Some(Answer::Accepted));
+    let state = fixture.request(1_200, "/q/1", "k", Action::Read);
     assert_eq!(state, Some(Answer::State(State::Queued)));
-    assert_eq!(entry.request(1_200, "/q/", "k", Action::Read), Some(Answer::Pending(1)));
+    assert_eq!(fixture.request(1_200, "/q/", "k", Action::Read), Some(Answer::Pending(1)));
 }
 
 /// Guards against carrying out and billing a job twice. A caller repeats its request at another
@@ -54,16 +54,16 @@
 /// job.
 #[test]
 fn a_job_that_is_submitted_twice_is_accepted_once() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", submit_one_step()), None);
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", submit_one_step()), None);
     let there = Item { key: "s/in/job/1".to_owned(), value: Some(Bytes::from("x")), revision: 5 };
-    entry.store_reply(
+    fixture.store_reply(
         1_150,
         1_100,
         Operation::Submit(vec!["1".to_owned()]),
         Reply::Refused(vec![there]),
     );
-    assert_eq!(entry.last_answer(), Some(Answer::Accepted));
+    assert_eq!(fixture.last_answer(), Some(Answer::Accepted));
 }
 
 /// Guards against a caller that is told "not run" of a job that runs. A write without an answer may
@@ -71,16 +71,16 @@
 /// may retry.
 #[test]
 fn a_write_without_an_answer_is_never_reported_as_not_done() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", submit_one_step()), None);
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", submit_one_step()), None);
     let operation = || Operation::Submit(vec!["1".to_owned()]);
-    entry.store_reply(1_500, 1_100, operation(), Reply::Unavailable("no answer".to_owned()));
-    entry.store_reply(1_700, 1_600, operation(), Reply::NotDone("busy".to_owned()));
-    entry.handle(4_000, Event::Tick);
+    fixture.store_reply(1_500, 1_100, operation(), Reply::Unavailable("no answer".to_owned()));
+    fixture.store_reply(1_700, 1_600, operation(), Reply::NotDone("busy".to_owned()));
+    fixture.handle(4_000, Event::Tick);
     assert!(
-        matches!(entry.last_answer(), Some(Answer::Unknown { .. })),
+        matches!(fixture.last_answer(), Some(Answer::Unknown { .. })),
         "{:?}",
-        entry.last_answer()
+        fixture.last_answer()
     );
 }
 
@@ -88,66 +88,66 @@
 /// which to retry.
 #[test]
 fn a_write_that_the_store_rejects_is_reported_as_not_done() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", submit_one_step()), None);
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", submit_one_step()), None);
     let operation = || Operation::Submit(vec!["1".to_owned()]);
-    entry.store_reply(1_200, 1_100, operation(), Reply::NotDone("busy".to_owned()));
-    entry.store_reply(1_300, 1_260, operation(), Reply::NotDone("busy".to_owned()));
-    entry.handle(1_301, Event::Tick);
-    assert_eq!(entry.last_answer(), None);
-    entry.store_reply(2_200, 2_100, operation(), Reply::NotDone("busy".to_owned()));
-    entry.handle(2_210, Event::Tick);
-    assert!(is_refused(entry.last_answer().as_ref()), "{:?}", entry.last_answer());
+    fixture.store_reply(1_200, 1_100, operation(), Reply::NotDone("busy".to_owned()));
+    fixture.store_reply(1_300, 1_260, operation(), Reply::NotDone("busy".to_owned()));
+    fixture.handle(1_301, Event::Tick);
+    assert_eq!(fixture.last_answer(), None);
+    fixture.store_reply(2_200, 2_100, operation(), Reply::NotDone("busy".to_owned()));
+    fixture.handle(2_210, Event::Tick);
+    assert!(is_refused(fixture.last_answer().as_ref()), "{:?}", fixture.last_answer());
 }
 
 /// Guards against callers that wait in vain until their timeout while the store is unreachable.
 /// Once it has answered no call for a while, they are told at once when to retry.
 #[test]
 fn callers_are_answered_at_once_while_the_store_is_unreachable() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     for time in [1_100, 1_500, 1_900] {
-        entry.machine.record_call(ms(time), &Way::Straight, false);
+        fixture.machine.record_call(ms(time), &Way::Straight, false);
     }
-    let answer = entry.request(2_000, "/q/1", "k", submit_one_step());
+    let answer = fixture.request(2_000, "/q/1", "k", submit_one_step());
     assert!(is_refused(answer.as_ref()), "{answer:?}");
-    entry.machine.record_call(ms(2_100), &Way::Straight, true);
-    assert_eq!(entry.request(2_200, "/q/2", "k", submit_one_step()), None);
+    fixture.machine.record_call(ms(2_100), &Way::Straight, true);
+    assert_eq!(fixture.request(2_200, "/q/2", "k", submit_one_step()), None);
 }
 
 /// Guards against a complete job that is reported as running because an older feed arrives late.
 #[test]
 fn an_older_feed_changes_nothing() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let feed = |term, version, state: State| {
         let row = Row { job: "1".to_owned(), queue: "q".to_owned(), state: state.into() };
         let feed = Feed { term, version, rows: vec![row], ..Feed::default() };
         Some(Box::new(feed))
     };
-    entry.handle(1_100, Event::Feed { sent: ms(1_050), feed: feed(2, 9, State::Complete) });
-    entry.handle(1_200, Event::Feed { sent: ms(1_000), feed: feed(1, 99, State::Active) });
-    entry.handle(1_300, Event::Feed { sent: ms(1_000), feed: feed(2, 8, State::Active) });
-    let state = entry.request(1_400, "/q/1", "k", Action::Read);
+    fixture.handle(1_100, Event::Feed { sent: ms(1_050), feed: feed(2, 9, State::Complete) });
+    fixture.handle(1_200, Event::Feed { sent: ms(1_000), feed: feed(1, 99, State::Active) });
+    fixture.handle(1_300, Event::Feed { sent: ms(1_000), feed: feed(2, 8, State::Active) });
+    let state = fixture.request(1_400, "/q/1", "k", Action::Read);
     assert_eq!(state, Some(Answer::State(State::Complete)));
 }
 
 #[test]
 fn invalid_jobs_are_refused_with_the_reason() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let with_steps = |steps: Vec<Step>| {
         Action::Submit(Ok(Submission { spec: String::new(), steps, schedule: None }))
     };
-    let malformed = |entry: &mut TestEntry, action| match entry.request(1_100, "/q/1", "k", action)
-    {
-        Some(Answer::Malformed(reason)) => reason,
-        other => panic!("{other:?}"),
-    };
+    let malformed =
+        |fixture: &mut Fixture, action| match fixture.request(1_100, "/q/1", "k", action) {
+            Some(Answer::Malformed(reason)) => reason,
+            other => panic!("{other:?}"),
+        };
     let after = Step { tasks: 1, after: vec![0], ..Step::default() };
     let reasons = [
-        malformed(&mut entry, with_steps(Vec::new())),
-        malformed(&mut entry, with_steps(vec![Step::default()])),
-        malformed(&mut entry, with_steps(vec![after])),
-        malformed(&mut entry, with_steps(vec![Step { tasks: u32::MAX, ..Step::default() }])),
-        malformed(&mut entry, Action::Submit(Err("EOF at line 1".to_owned()))),
+        malformed(&mut fixture, with_steps(Vec::new())),
+        malformed(&mut fixture, with_steps(vec![Step::default()])),
+        malformed(&mut fixture, with_steps(vec![after])),
+        malformed(&mut fixture, with_steps(vec![Step { tasks: u32::MAX, ..Step::default() }])),
+        malformed(&mut fixture, Action::Submit(Err("EOF at line 1".to_owned()))),
     ];
     insta::assert_snapshot!(reasons.join("\n"));
 }
@@ -162,41 +162,41 @@
 /// asks again only later. So the answer waits briefly for the end to become known.
 #[test]
 fn a_state_request_waits_for_the_end_of_the_job() {
-    let mut entry = TestEntry::configured(1_000);
-    entry
+    let mut fixture = Fixture::configured(1_000);
+    fixture
         .handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_state(2, 9, State::Active) });
-    assert_eq!(entry.request(2_000, "/q/1", "k", Action::Read), None);
-    entry.handle(
+    assert_eq!(fixture.request(2_000, "/q/1", "k", Action::Read), None);
+    fixture.handle(
         2_090,
         Event::Feed { sent: ms(2_000), feed: feed_with_state(2, 10, State::Complete) },
     );
-    assert_eq!(entry.last_answer(), Some(Answer::State(State::Complete)));
+    assert_eq!(fixture.last_answer(), Some(Answer::State(State::Complete)));
 }
 
 /// The caller of a job that continues is answered within the time allowed for the wait.
 #[test]
 fn a_state_request_waits_only_briefly_for_a_job_that_continues() {
-    let mut entry = TestEntry::configured(1_000);
-    entry
+    let mut fixture = Fixture::configured(1_000);
+    fixture
         .handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_state(2, 9, State::Active) });
-    assert_eq!(entry.request(2_000, "/q/1", "k", Action::Read), None);
-    entry.handle(2_140, Event::Tick);
-    assert_eq!(entry.last_answer(), None);
-    entry.handle(2_150, Event::Tick);
-    assert_eq!(entry.last_answer(), Some(Answer::State(State::Active)));
+    assert_eq!(fixture.request(2_000, "/q/1", "k", Action::Read), None);
+    fixture.handle(2_140, Event::Tick);
+    assert_eq!(fixture.last_answer(), None);
+    fixture.handle(2_150, Event::Tick);
+    assert_eq!(fixture.last_answer(), Some(Answer::State(State::Active)));
 }
 
 /// Guards against an entry that terminates without answering the callers that still wait for a
 /// job's end.
 #[test]
 fn waiting_state_requests_are_answered_before_the_entry_terminates() {
-    let mut entry = TestEntry::configured(1_000);
-    entry
+    let mut fixture = Fixture::configured(1_000);
+    fixture
         .handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_state(2, 9, State::Active) });
-    assert_eq!(entry.request(2_000, "/q/1", "k", Action::Read), None);
-    entry.handle(2_010, Event::Terminate);
-    assert_eq!(entry.last_answer(), Some(Answer::State(State::Active)));
-    assert!(entry.machine.is_idle());
+    assert_eq!(fixture.request(2_000, "/q/1", "k", Action::Read), None);
+    fixture.handle(2_010, Event::Terminate);
+    assert_eq!(fixture.last_answer(), Some(Answer::State(State::Active)));
+    assert!(fixture.machine.is_idle());
 }
 
 /// Guards against a caller that is told "not run" of a job that runs. Its first try got no answer
@@ -205,29 +205,29 @@
 /// is still unknown.
 #[test]
 fn a_retry_is_not_reported_as_not_done_while_the_first_try_may_be_applied() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", submit_one_step()), None);
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", submit_one_step()), None);
     let operation = Operation::Submit(vec!["1".to_owned()]);
-    entry.store_reply(1_500, 1_100, operation, Reply::Unavailable("no answer".to_owned()));
+    fixture.store_reply(1_500, 1_100, operation, Reply::Unavailable("no answer".to_owned()));
     for time in [1_500, 1_900, 2_150] {
-        entry.machine.record_call(ms(time), &Way::Straight, false);
+        fixture.machine.record_call(ms(time), &Way::Straight, false);
     }
-    entry.handle(2_200, Event::Tick);
+    fixture.handle(2_200, Event::Tick);
     assert!(
-        matches!(entry.last_answer(), Some(Answer::Unknown { .. })),
+        matches!(fixture.last_answer(), Some(Answer::Unknown { .. })),
         "{:?}",
-        entry.last_answer()
+        fixture.last_answer()
     );
-    let other = entry.request(2_250, "/q/2", "k", submit_one_step());
+    let other = fixture.request(2_250, "/q/2", "k", submit_one_step());
     assert!(is_refused(other.as_ref()), "{other:?}");
-    assert_eq!(entry.request(2_300, "/q/1", "k", submit_one_step()), None);
+    assert_eq!(fixture.request(2_300, "/q/1", "k", submit_one_step()), None);
     let operation = Operation::Submit(vec!["1".to_owned()]);
-    entry.store_reply(3_340, 3_300, operation, Reply::NotDone("busy".to_owned()));
-    entry.handle(3_360, Event::Tick);
+    fixture.store_reply(3_340, 3_300, operation, Reply::NotDone("busy".to_owned()));
+    fixture.handle(3_360, Event::Tick);
     assert!(
-        matches!(entry.last_answer(), Some(Answer::Unknown { .. })),
+        matches!(fixture.last_answer(), Some(Answer::Unknown { .. })),
         "{:?}",
-        entry.last_answer()
+        fixture.last_answer()
     );
 }
 
@@ -236,20 +236,20 @@
 /// too. The entry that answered last is preferred.
 #[test]
 fn calls_are_relayed_by_the_entry_that_answered_last() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let feed = Feed {
         term: 2,
         version: 1,
         entries: ["a:1", "b:1", "c:1"].map(str::to_owned).to_vec(),
         ..Feed::default()
     };
-    entry.handle(1_050, Event::Feed { sent: ms(1_040), feed: Some(Box::new(feed)) });
-    entry.machine.record_call(ms(1_100), &Way::Straight, false);
+    fixture.handle(1_050, Event::Feed { sent: ms(1_040), feed: Some(Box::new(feed)) });
+    fixture.machine.record_call(ms(1_100), &Way::Straight, false);
     let good = Way::Through("b:1".to_owned());
     let mut tried = 0;
     loop {
-        let way = entry.machine.way(false);
-        entry.machine.record_call(ms(1_200), &way, way == good);
+        let way = fixture.machine.way(false);
+        fixture.machine.record_call(ms(1_200), &way, way == good);
         tried += 1;
         if way == good {
             break;
@@ -257,11 +257,11 @@
         assert!(tried < 3, "an entry was tried twice before all others");
     }
     for _ in 0..5 {
-        assert_eq!(entry.machine.way(false), good);
-        entry.machine.record_call(ms(1_300), &good, true);
+        assert_eq!(fixture.machine.way(false), good);
+        fixture.machine.record_call(ms(1_300), &good, true);
     }
-    entry.machine.record_call(ms(1_400), &good, false);
-    assert_ne!(entry.machine.way(false), good);
+    fixture.machine.record_call(ms(1_400), &good, false);
+    assert_ne!(fixture.machine.way(false), good);
 }
 
 /// Guards against callers of an isolated entry that wait a second before they try another one,
@@ -270,13 +270,13 @@
 #[test]
 fn callers_of_an_isolated_entry_may_retry_elsewhere_at_once() {
     let isolated = |feed_at: u64| {
-        let mut entry = TestEntry::configured(1_000);
+        let mut fixture = Fixture::configured(1_000);
         let feed = Feed { term: 1, version: 2, ..Feed::default() };
-        entry.handle(feed_at, Event::Feed { sent: ms(feed_at), feed: Some(Box::new(feed)) });
+        fixture.handle(feed_at, Event::Feed { sent: ms(feed_at), feed: Some(Box::new(feed)) });
         for time in [3_100, 3_500, 3_900] {
-            entry.machine.record_call(ms(time), &Way::Straight, false);
+            fixture.machine.record_call(ms(time), &Way::Straight, false);
         }
-        entry.request(4_000, "/q/1", "k", submit_one_step())
+        fixture.request(4_000, "/q/1", "k", submit_one_step())
     };
     assert_matches!(isolated(1_500), Some(Answer::NotDone { after: Duration::ZERO, .. }));
     assert_matches!(isolated(3_900), Some(Answer::NotDone { after, .. }) if !after.is_zero());
@@ -286,9 +286,9 @@
 /// but reported itself ready for as long as it may serve the caller keys that it knows.
 #[test]
 fn an_entry_without_a_recent_freshness_check_is_not_ready() {
-    let entry = TestEntry::configured(1_000);
-    assert!(entry.machine.is_ready(ms(3_900)));
-    assert!(!entry.machine.is_ready(ms(4_100)));
+    let fixture = Fixture::configured(1_000);
+    assert!(fixture.machine.is_ready(ms(3_900)));
+    assert!(!fixture.machine.is_ready(ms(4_100)));
 }
 
 fn feed_with_supply(drain_ms: u64) -> Option<Box<Feed>> {
@@ -313,28 +313,28 @@
 /// answer was lost, may have been accepted.
 #[test]
 fn a_job_that_fits_no_worker_is_rejected_unless_it_was_accepted_before() {
-    let mut entry = TestEntry::configured(1_000);
-    entry.handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_supply(0) });
+    let mut fixture = Fixture::configured(1_000);
+    fixture.handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_supply(0) });
     let looked_up = |id: &str| Operation::LookUp(id.to_owned());
-    assert_eq!(entry.request(1_200, "/q/1", "k", submit_step(9, 1_000)), None);
-    entry.store_reply(1_210, 1_200, looked_up("1"), Reply::Value(Value::default()));
-    assert_matches!(entry.last_answer(), Some(Answer::NotDone { after, .. }) if after >= ms(1_000));
-    assert_eq!(entry.request(1_300, "/q/2", "k", submit_step(9, 1_000)), None);
+    assert_eq!(fixture.request(1_200, "/q/1", "k", submit_step(9, 1_000)), None);
+    fixture.store_reply(1_210, 1_200, looked_up("1"), Reply::Value(Value::default()));
+    assert_matches!(fixture.last_answer(), Some(Answer::NotDone { after, .. }) if after >= ms(1_000));
+    assert_eq!(fixture.request(1_300, "/q/2", "k", submit_step(9, 1_000)), None);
     let there = Value { revision: 5, bytes: Bytes::from("x") };
-    entry.store_reply(1_310, 1_300, looked_up("2"), Reply::Value(there));
-    assert_eq!(entry.last_answer(), Some(Answer::Accepted));
-    assert_eq!(entry.request(1_400, "/q/3", "k", submit_step(8, 1_000)), None);
-    assert_eq!(entry.calls.last(), Some(&Operation::Submit(vec!["3".to_owned()])));
+    fixture.store_reply(1_310, 1_300, looked_up("2"), Reply::Value(there));
+    assert_eq!(fixture.last_answer(), Some(Answer::Accepted));
+    assert_eq!(fixture.request(1_400, "/q/3", "k", submit_step(8, 1_000)), None);
+    assert_eq!(fixture.calls.last(), Some(&Operation::Submit(vec!["3".to_owned()])));
 }
 
 /// The resources of the workers are known from the leader's feed. When the latest feed is seconds
 /// old, no job is rejected because of them.
 #[test]
 fn no_job_is_rejected_because_of_outdated_worker_resources() {
-    let mut entry = TestEntry::configured(1_000);
-    entry.handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_supply(0) });
-    assert_eq!(entry.request(4_500, "/q/1", "k", submit_step(9, 1_000)), None);
-    assert_eq!(entry.calls.last(), Some(&Operation::Submit(vec!["1".to_owned()])));
+    let mut fixture = Fixture::configured(1_000);
+    fixture.handle(1_100, Event::Feed { sent: ms(1_050), feed: feed_with_supply(0) });
+    assert_eq!(fixture.request(4_500, "/q/1", "k", submit_step(9, 1_000)), None);
+    assert_eq!(fixture.calls.last(), Some(&Operation::Submit(vec!["1".to_owned()])));
 }
 
 /// Guards against jobs that wait for over a second after a loss of power until an entry plans. The
@@ -344,13 +344,13 @@
 #[test]
 fn an_entry_releases_the_leader_key_of_its_previous_process() {
     let read = |name: &str, address: &str, generation: u64| {
-        let mut entry = TestEntry::configured(1_000);
+        let mut fixture = Fixture::configured(1_000);
         let lead = Lead { name: name.to_owned(), address: address.to_owned(), term: 0, generation };
         let value = Some(Bytes::from(lead.encode_to_vec()));
         let item = Item { key: "lead".to_owned(), value, revision: 40 };
         let reply = Reply::Items { items: vec![item], has_more: false, revision: 41 };
-        entry.store_reply(1_020, 1_010, Operation::Leader, reply);
-        entry.calls.contains(&Operation::LeaderRelease)
+        fixture.store_reply(1_020, 1_010, Operation::Leader, reply);
+        fixture.calls.contains(&Operation::LeaderRelease)
     };
     assert!(read("e", "e:1", 7));
     assert!(!read("e", "e:1", 1), "this process holds it");
@@ -361,60 +361,60 @@
 /// Guards against a store that rejects calls and gets thousands of look-ups of the same job.
 #[test]
 fn a_look_up_that_the_store_rejects_is_sent_again_after_a_delay() {
-    let mut entry = TestEntry::configured(1_000);
-    assert_eq!(entry.request(1_100, "/q/1", "k", Action::Read), None);
+    let mut fixture = Fixture::configured(1_000);
+    assert_eq!(fixture.request(1_100, "/q/1", "k", Action::Read), None);
     let look_up = || Operation::LookUp("1".to_owned());
     let mut answered = 0;
     for time in 1_100..1_200 {
-        let sent = entry.calls.iter().filter(|call| **call == look_up()).count();
+        let sent = fixture.calls.iter().filter(|call| **call == look_up()).count();
         assert!(sent < 4, "{sent} times by {time} ms");
         if sent > answered {
             answered = sent;
-            entry.store_reply(time, time, look_up(), Reply::NotDone("busy".to_owned()));
+            fixture.store_reply(time, time, look_up(), Reply::NotDone("busy".to_owned()));
         } else {
-            entry.handle(time, Event::Tick);
+            fixture.handle(time, Event::Tick);
         }
     }
-    entry.store_reply(1_300, 1_290, look_up(), Reply::Value(Value::default()));
-    assert_eq!(entry.last_answer(), Some(Answer::NoJob));
+    fixture.store_reply(1_300, 1_290, look_up(), Reply::Value(Value::default()));
+    assert_eq!(fixture.last_answer(), Some(Answer::NoJob));
 }
 
 /// Guards against reading and watching the leader key in turn, without a delay, at a store that
 /// keeps no history.
 #[test]
 fn a_watch_of_the_leader_key_whose_history_is_gone_restarts_after_a_delay() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let nobody = |revision| Reply::Items { items: Vec::new(), has_more: false, revision };
-    entry.store_reply(1_020, 1_010, Operation::Leader, nobody(40));
+    fixture.store_reply(1_020, 1_010, Operation::Leader, nobody(40));
     let reads =
-        |entry: &TestEntry| entry.calls.iter().filter(|it| **it == Operation::Leader).count();
-    let before = reads(&entry);
-    entry.store_reply(1_030, 1_020, Operation::LeaderWatch, Reply::HistoryGone);
-    assert_eq!(reads(&entry), before);
-    entry.handle(1_400, Event::Tick);
-    assert_eq!(reads(&entry), before + 1);
+        |fixture: &Fixture| fixture.calls.iter().filter(|it| **it == Operation::Leader).count();
+    let before = reads(&fixture);
+    fixture.store_reply(1_030, 1_020, Operation::LeaderWatch, Reply::HistoryGone);
+    assert_eq!(reads(&fixture), before);
+    fixture.handle(1_400, Event::Tick);
+    assert_eq!(reads(&fixture), before + 1);
 }
 
 /// Guards against a caller that is told "not done" of a job although a later one of its tries,
 /// which got no answer either, may still be applied.
 #[test]
 fn every_try_without_an_answer_extends_the_time_in_which_it_may_be_applied() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let operation = || Operation::Submit(vec!["1".to_owned()]);
-    let unanswered = |entry: &mut TestEntry, at: u64| {
-        entry.store_reply(at, at, Operation::Freshness, Reply::Committed(9));
-        assert_eq!(entry.request(at, "/q/1", "k", submit_one_step()), None);
-        entry.store_reply(at + 500, at, operation(), Reply::Unavailable("no answer".to_owned()));
-        entry.handle(at + 1_300, Event::Tick);
-        assert_matches!(entry.last_answer(), Some(Answer::Unknown { .. }));
+    let unanswered = |fixture: &mut Fixture, at: u64| {
+        fixture.store_reply(at, at, Operation::Freshness, Reply::Committed(9));
+        assert_eq!(fixture.request(at, "/q/1", "k", submit_one_step()), None);
+        fixture.store_reply(at + 500, at, operation(), Reply::Unavailable("no answer".to_owned()));
+        fixture.handle(at + 1_300, Event::Tick);
+        assert_matches!(fixture.last_answer(), Some(Answer::Unknown { .. }));
     };
-    unanswered(&mut entry, 2_000);
-    unanswered(&mut entry, 15_000);
-    entry.store_reply(19_900, 19_900, Operation::Freshness, Reply::Committed(9));
-    assert_eq!(entry.request(20_000, "/q/1", "k", submit_one_step()), None);
-    entry.store_reply(20_400, 20_000, operation(), Reply::NotDone("busy".to_owned()));
-    entry.handle(21_300, Event::Tick);
-    assert_matches!(entry.last_answer(), Some(Answer::Unknown { .. }));
+    unanswered(&mut fixture, 2_000);
+    unanswered(&mut fixture, 15_000);
+    fixture.store_reply(19_900, 19_900, Operation::Freshness, Reply::Committed(9));
+    assert_eq!(fixture.request(20_000, "/q/1", "k", submit_one_step()), None);
+    fixture.store_reply(20_400, 20_000, operation(), Reply::NotDone("busy".to_owned()));
+    fixture.handle(21_300, Event::Tick);
+    assert_matches!(fixture.last_answer(), Some(Answer::Unknown { .. }));
 }
 
 /// Guards against a second without a planner. An entry that was asked to terminate acquired the
@@ -422,17 +422,17 @@
 /// lease expired.
 #[test]
 fn a_terminating_entry_releases_a_leader_key_that_it_acquires_late() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let nobody = Reply::Items { items: Vec::new(), has_more: false, revision: 41 };
-    entry.store_reply(1_020, 1_010, Operation::Leader, nobody);
+    fixture.store_reply(1_020, 1_010, Operation::Leader, nobody);
     for time in (1_050..1_300).step_by(10) {
-        entry.handle(time, Event::Tick);
+        fixture.handle(time, Event::Tick);
     }
-    entry.store_reply(1_300, 1_290, Operation::LeaderLease, Reply::Leased(5));
-    entry.handle(1_310, Event::Terminate);
-    entry.store_reply(1_320, 1_300, Operation::LeaderLease, Reply::Written(70));
-    assert_eq!(entry.calls.last(), Some(&Operation::LeaderRelease));
-    assert_eq!(entry.machine.leader(), None);
+    fixture.store_reply(1_300, 1_290, Operation::LeaderLease, Reply::Leased(5));
+    fixture.handle(1_310, Event::Terminate);
+    fixture.store_reply(1_320, 1_300, Operation::LeaderLease, Reply::Written(70));
+    assert_eq!(fixture.calls.last(), Some(&Operation::LeaderRelease));
+    assert_eq!(fixture.machine.leader(), None);
 }
 
 fn submit_steps(steps: Vec<Step>, schedule: Option<Schedule>) -> Action {
@@ -442,7 +442,7 @@
 /// Guards against an entry that crashes because the sum of a job's declared run times overflows.
 #[test]
 fn a_job_whose_total_run_time_would_overflow_is_refused() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let step = |index: u32| Step {
         tasks: 1,
         estimate_ms: u64::MAX,
@@ -450,7 +450,7 @@
         ..Step::default()
     };
     let answer =
-        entry.request(1_100, "/q/1", "k", submit_steps((0..2_000).map(step).collect(), None));
+        fixture.request(1_100, "/q/1", "k", submit_steps((0..2_000).map(step).collect(), None));
     let Some(Answer::Malformed(reason)) = answer else { panic!("{answer:?}") };
     assert!(reason.contains("steps[0]: estimate_ms"), "{reason}");
 }
@@ -458,11 +458,11 @@
 /// Guards against a planner whose memory fills with occurrences that are all due at once.
 #[test]
 fn a_job_with_too_many_occurrences_due_at_once_is_refused() {
-    let mut entry = TestEntry::configured(1_000);
+    let mut fixture = Fixture::configured(1_000);
     let mut ask = |first_ms, interval_ms, times| {
         let schedule = Some(Schedule { first_ms, interval_ms, times });
         let steps = vec![Step { tasks: 1, ..Step::default() }];
-        entry.request(1_100, "/q/1", "k", submit_steps(steps, schedule))
+        fixture.request(1_100, "/q/1", "k", submit_steps(steps, schedule))
     };
     for (first_ms, interval_ms, times) in [(0, 0, u32::MAX), (u64::MAX, 0, u32::MAX)] {
         let answer = ask(first_ms, interval_ms, times);
--- a/crates/front/tests/harness/mod.rs
+++ b/crates/front/tests/harness/mod.rs
@@ -46,7 +46,7 @@
     }))
 }
 
-pub(crate) struct TestEntry {
+pub(crate) struct Fixture {
     pub(crate) machine: Machine,
     pub(crate) answers: Vec<(u64, Answer)>,
     pub(crate) calls: Vec<Operation>,
@@ -54,7 +54,7 @@
     pub(crate) caller: u64,
 }
 
-impl TestEntry {
+impl Fixture {
     pub(crate) fn new() -> Self {
         let machine = Machine::new(Options {
             name: "e".to_owned(),
@@ -67,18 +67,18 @@
             leader_lease: ms(1_300),
             seed: 1,
         });
-        TestEntry { machine, answers: Vec::new(), calls: Vec::new(), sent: Vec::new(), caller: 0 }
+        Fixture { machine, answers: Vec::new(), calls: Vec::new(), sent: Vec::new(), caller: 0 }
     }
 
     /// Creates an entry with a feed and with a configuration that contains the caller key `k`,
     /// verified at the given time.
     pub(crate) fn configured(now: u64) -> Self {
-        let mut entry = TestEntry::new();
-        entry.handle(now, Event::Tick);
-        entry.catalog_reply(now, now, 7, "k");
+        let mut fixture = Fixture::new();
+        fixture.handle(now, Event::Tick);
+        fixture.catalog_reply(now, now, 7, "k");
         let feed = Feed { term: 1, version: 1, is_whole: true, ..Feed::default() };
-        entry.handle(now, Event::Feed { sent: ms(now), feed: Some(Box::new(feed)) });
-        entry
+        fixture.handle(now, Event::Feed { sent: ms(now), feed: Some(Box::new(feed)) });
+        fixture
     }
 
     pub(crate) fn handle(&mut self, now: u64, event: Event) {
--- a/crates/runner/tests/agent/mod.rs
+++ b/crates/runner/tests/agent/mod.rs
@@ -9,7 +9,7 @@
     options::Options,
 };
 
-use crate::harness::{Bench, LEASE, TOKEN, is_start, ms, run, start};
+use crate::harness::{Fixture, LEASE, TOKEN, is_start, ms, run, start};
 
 /// Guards against a job that stays active for ever though nothing of it runs: a task starts and
 /// fails while a long poll that was sent before the start still waits, and the answer lists the
@@ -17,23 +17,23 @@
 /// take the run up again, and wait for an end that has already come.
 #[test]
 fn a_task_that_ended_during_a_long_poll_is_not_reported_as_running() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    let order = bench.take_call(is_start);
-    bench.handle(110, Event::MinionReply(order, Reply::Done));
-    bench.handle(120, Event::Tick);
-    bench.answer_polls(300, Vec::new(), Vec::new());
+        fixture.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    let order = fixture.take_call(is_start);
+    fixture.handle(110, Event::MinionReply(order, Reply::Done));
+    fixture.handle(120, Event::Tick);
+    fixture.answer_polls(300, Vec::new(), Vec::new());
     let ended = Ended {
         number: 1,
         run: Some(run(1)),
         ending: Ending::Faulty.into(),
         checkpoint: String::new(),
     };
-    bench.send_list(400, long_poll, vec![ended]);
-    bench.handle(420, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.send_list(400, long_poll, vec![ended]);
+    fixture.handle(420, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.ended.len(), 1);
     assert!(poll.running.is_empty(), "reported as running: {:?}", poll.running);
 }
@@ -42,12 +42,12 @@
 /// flight when the minion began to drain, so the agent refuses it by itself.
 #[test]
 fn a_draining_minion_gets_no_start() {
-    let mut bench = Bench::fenced();
-    bench.heartbeat(50, 1, 2, true);
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    bench.handle(120, Event::Tick);
-    assert!(!bench.calls.iter().any(|(_, call)| is_start(call)));
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    fixture.heartbeat(50, 1, 2, true);
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    fixture.handle(120, Event::Tick);
+    assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)));
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.verdicts[0].rejection(), Rejection::Draining);
 }
 
@@ -55,12 +55,12 @@
 /// delayed by a network partition and arrives after that of the next incarnation.
 #[test]
 fn a_late_heartbeat_of_an_earlier_incarnation_changes_nothing() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(900, Vec::new(), Vec::new());
-    bench.heartbeat(1_000, 9, 1, false);
-    bench.heartbeat(1_100, 1, 5, false);
-    bench.handle(1_200, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(900, Vec::new(), Vec::new());
+    fixture.heartbeat(1_000, 9, 1, false);
+    fixture.heartbeat(1_100, 1, 5, false);
+    fixture.handle(1_200, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.incarnation.as_ref().map(|minion| minion.born_ms), Some(9));
 }
 
@@ -77,15 +77,15 @@
         minion_address: "m:1".to_owned(),
         stop_timeout: ms(400),
     };
-    let mut bench = Bench { machine: Machine::new(options), ..Bench::new() };
+    let mut fixture = Fixture { machine: Machine::new(options), ..Fixture::new() };
     for round in 1..=3 {
-        bench.handle(200 * round, Event::Tick);
-        let probe = bench.take_call(|call| matches!(call, Call::LongPoll { token: 0, .. }));
-        bench.handle(200 * round + 1, Event::MinionReply(probe, Reply::NotListening));
+        fixture.handle(200 * round, Event::Tick);
+        let probe = fixture.take_call(|call| matches!(call, Call::LongPoll { token: 0, .. }));
+        fixture.handle(200 * round + 1, Event::MinionReply(probe, Reply::NotListening));
     }
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    bench.handle(1_000, Event::Leader(lead));
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.handle(1_000, Event::Leader(lead));
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert!(poll.is_minion_gone);
 }
 
@@ -93,12 +93,12 @@
 /// ended.
 #[test]
 fn an_agent_that_has_no_contact_yet_does_not_report_its_minion_as_gone() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-    bench.handle(1_000, Event::Leader(lead));
-    bench.answer_polls(1_500, Vec::new(), Vec::new());
-    bench.handle(1_600, Event::Tick);
-    assert!(bench.polls.iter().all(|(_, poll)| !poll.is_minion_gone));
+    fixture.handle(1_000, Event::Leader(lead));
+    fixture.answer_polls(1_500, Vec::new(), Vec::new());
+    fixture.handle(1_600, Event::Tick);
+    assert!(fixture.polls.iter().all(|(_, poll)| !poll.is_minion_gone));
 }
 
 /// Guards against thousands of connections within half a minute: each call to a minion that answers
@@ -106,17 +106,17 @@
 /// lost; the delays between further ones grow.
 #[test]
 fn calls_to_a_silent_minion_become_rare() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(1)], Vec::new());
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
     let mut now = 100;
     let mut attempts = 0;
     while now < 10_100 {
         now += 50;
-        bench.handle(now, Event::Tick);
-        while let Some(at) = bench.calls.iter().position(|(_, call)| is_start(call)) {
-            let (ticket, _) = bench.calls.remove(at);
+        fixture.handle(now, Event::Tick);
+        while let Some(at) = fixture.calls.iter().position(|(_, call)| is_start(call)) {
+            let (ticket, _) = fixture.calls.remove(at);
             attempts += 1;
-            bench.handle(now, Event::MinionReply(ticket, Reply::Unknown));
+            fixture.handle(now, Event::MinionReply(ticket, Reply::Unknown));
         }
     }
     assert!((3..14).contains(&attempts), "{attempts} attempts in ten seconds");
@@ -128,11 +128,11 @@
 /// planner has learned of them.
 #[test]
 fn orders_of_an_earlier_session_are_not_applied_to_a_new_incarnation() {
-    let mut bench = Bench::fenced();
-    bench.handle(100, Event::Tick);
-    let (ticket, _) = bench.polls.last().cloned().expect("the agent has polled");
-    bench.heartbeat(1_000, 9, 1, false);
-    bench.calls.clear();
+    let mut fixture = Fixture::fenced();
+    fixture.handle(100, Event::Tick);
+    let (ticket, _) = fixture.polls.last().cloned().expect("the agent has polled");
+    fixture.heartbeat(1_000, 9, 1, false);
+    fixture.calls.clear();
     let orders = Orders {
         term: 7,
         token: TOKEN,
@@ -140,28 +140,29 @@
         noted: 57,
         ..Orders::default()
     };
-    bench.handle(1_010, Event::Orders(ticket, Box::new(orders)));
-    bench.handle(1_200, Event::Tick);
-    assert!(bench.calls.is_empty(), "{:?}", bench.calls);
-    let (ticket, _) = bench.polls.last().cloned().expect("the agent has polled");
+    fixture.handle(1_010, Event::Orders(ticket, Box::new(orders)));
+    fixture.handle(1_200, Event::Tick);
+    assert!(fixture.calls.is_empty(), "{:?}", fixture.calls);
+    let (ticket, _) = fixture.polls.last().cloned().expect("the agent has polled");
     let orders = Orders {
         term: 7,
         token: TOKEN + 1,
         lease_ms: LEASE.as_millis() as u64,
         ..Orders::default()
     };
-    bench.handle(1_300, Event::Orders(ticket, Box::new(orders)));
-    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { acknowledged: 0, .. }));
-    bench.send_list(1_310, long_poll, Vec::new());
+    fixture.handle(1_300, Event::Orders(ticket, Box::new(orders)));
+    let long_poll =
+        fixture.take_call(|call| matches!(call, Call::LongPoll { acknowledged: 0, .. }));
+    fixture.send_list(1_310, long_poll, Vec::new());
 }
 
 /// Guards against a task that is never started again without any message: the minion lists its end
 /// in a row that can't be read. The row comes again with every list, so it is logged only once.
 #[test]
 fn unreadable_rows_are_logged_once() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let mut send_list = |now: u64, unreadable| {
-        let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
+        let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
         let reply = Reply::Listed {
             born_ms: 1,
             clock: ms(now),
@@ -169,14 +170,14 @@
             ended: Vec::new(),
             unreadable,
         };
-        bench.handle(now, Event::MinionReply(long_poll, reply));
-        bench.handle(now + 2_000, Event::Tick);
+        fixture.handle(now, Event::MinionReply(long_poll, reply));
+        fixture.handle(now + 2_000, Event::Tick);
     };
     send_list(100, 2);
     send_list(2_200, 2);
     send_list(4_400, 0);
     let logged: Vec<&String> =
-        bench.log.iter().filter(|line| line.contains("unreadable rows")).collect();
+        fixture.log.iter().filter(|line| line.contains("unreadable rows")).collect();
     let expected =
         ["2", "0"].map(|rows| format!("unreadable rows in the lists of the minion: {rows}"));
     assert_eq!(logged, expected.iter().collect::<Vec<_>>());
@@ -186,35 +187,35 @@
 /// was delayed.
 #[test]
 fn a_minion_that_does_not_drain_is_asked_before_it_is_declared_lost() {
-    let mut bench = Bench::fenced();
-    bench.handle(100, Event::Deregistered("m".to_owned()));
-    bench.answer_polls(150, Vec::new(), Vec::new());
-    bench.handle(200, Event::Tick);
-    let incarnation = |bench: &Bench| {
-        let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    fixture.handle(100, Event::Deregistered("m".to_owned()));
+    fixture.answer_polls(150, Vec::new(), Vec::new());
+    fixture.handle(200, Event::Tick);
+    let incarnation = |fixture: &Fixture| {
+        let (_, poll) = fixture.polls.last().expect("the agent has polled");
         poll.incarnation.as_ref().map(|incarnation| incarnation.born_ms)
     };
-    assert_eq!(incarnation(&bench), Some(1));
-    bench.heartbeat(250, 1, 2, true);
-    bench.handle(300, Event::Deregistered("m".to_owned()));
-    bench.answer_polls(350, Vec::new(), Vec::new());
-    bench.handle(400, Event::Tick);
-    assert_eq!(incarnation(&bench), None);
+    assert_eq!(incarnation(&fixture), Some(1));
+    fixture.heartbeat(250, 1, 2, true);
+    fixture.handle(300, Event::Deregistered("m".to_owned()));
+    fixture.answer_polls(350, Vec::new(), Vec::new());
+    fixture.handle(400, Event::Tick);
+    assert_eq!(incarnation(&fixture), None);
 }
 
 /// Guards against a live minion that is declared lost: an answer to a call that was meant for the
 /// previous incarnation came late.
 #[test]
 fn an_answer_to_a_call_to_an_earlier_incarnation_says_nothing_about_the_next() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
-    bench.heartbeat(100, 2, 1, false);
-    bench.handle(150, Event::MinionReply(long_poll, Reply::WrongInstance));
-    bench.handle(200, Event::Tick);
-    bench.answer_polls(250, Vec::new(), Vec::new());
-    bench.handle(300, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+        fixture.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
+    fixture.heartbeat(100, 2, 1, false);
+    fixture.handle(150, Event::MinionReply(long_poll, Reply::WrongInstance));
+    fixture.handle(200, Event::Tick);
+    fixture.answer_polls(250, Vec::new(), Vec::new());
+    fixture.handle(300, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.incarnation.as_ref().map(|incarnation| incarnation.born_ms), Some(2));
 }
 
@@ -222,46 +223,46 @@
 /// the next one has received no token until a planner begins a session with it.
 #[test]
 fn a_new_incarnation_is_fenced_before_a_planner_is_reached() {
-    let mut bench = Bench::fenced();
-    bench.calls.clear();
-    bench.heartbeat(1_000, 2, 1, false);
-    bench.handle(1_050, Event::Tick);
+    let mut fixture = Fixture::fenced();
+    fixture.calls.clear();
+    fixture.heartbeat(1_000, 2, 1, false);
+    fixture.handle(1_050, Event::Tick);
     let is_fencing = |call: &Call| matches!(call, Call::LongPoll { token, .. } if *token > TOKEN);
-    let fencing_call = bench.take_call(is_fencing);
+    let fencing_call = fixture.take_call(is_fencing);
     // The call is repeated until the minion has answered it.
-    bench.handle(1_400, Event::MinionReply(fencing_call, Reply::Unknown));
-    bench.handle(2_000, Event::Tick);
-    let fencing_call = bench.take_call(is_fencing);
+    fixture.handle(1_400, Event::MinionReply(fencing_call, Reply::Unknown));
+    fixture.handle(2_000, Event::Tick);
+    let fencing_call = fixture.take_call(is_fencing);
     let listed =
         Reply::Listed { born_ms: 2, clock: ms(9), running: vec![], ended: vec![], unreadable: 0 };
-    bench.handle(2_050, Event::MinionReply(fencing_call, listed));
-    bench.handle(3_000, Event::Tick);
-    assert!(!bench.calls.iter().any(|(_, call)| is_fencing(call)));
+    fixture.handle(2_050, Event::MinionReply(fencing_call, listed));
+    fixture.handle(3_000, Event::Tick);
+    assert!(!fixture.calls.iter().any(|(_, call)| is_fencing(call)));
 }
 
 /// Guards against work that was done and is done again elsewhere: a minion deregisters right after
 /// it has listed its last end, and the planner would count the run as lost with it.
 #[test]
 fn ends_are_reported_before_a_minion_is_reported_as_gone() {
-    let mut bench = Bench::fenced();
-    bench.heartbeat(70, 1, 2, true);
+    let mut fixture = Fixture::fenced();
+    fixture.heartbeat(70, 1, 2, true);
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
+        fixture.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if !wait.is_zero()));
     let ended = Ended {
         number: 1,
         run: Some(run(1)),
         ending: Ending::Done.into(),
         checkpoint: String::new(),
     };
-    bench.send_list(80, long_poll, vec![ended]);
-    bench.handle(81, Event::Deregistered("m".to_owned()));
-    bench.answer_polls(85, vec![], vec![]);
-    bench.handle(200, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.send_list(80, long_poll, vec![ended]);
+    fixture.handle(81, Event::Deregistered("m".to_owned()));
+    fixture.answer_polls(85, vec![], vec![]);
+    fixture.handle(200, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert!(!poll.ended.is_empty() && !poll.is_minion_gone, "the ends are reported first");
-    bench.answer_polls(300, vec![], vec![]);
-    bench.handle(400, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.answer_polls(300, vec![], vec![]);
+    fixture.handle(400, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert!(poll.is_minion_gone);
 }
 
@@ -270,29 +271,29 @@
 /// in the meantime.
 #[test]
 fn ends_are_acknowledged_once_and_by_no_long_poll_that_waits() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let ended = Ended { number: 3, run: Some(run(1)), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
-    bench.send_list(80, long_poll, vec![ended]);
-    bench.handle(90, Event::Tick);
-    let (ticket, _) = bench.polls.pop().expect("the agent has polled");
+    let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
+    fixture.send_list(80, long_poll, vec![ended]);
+    fixture.handle(90, Event::Tick);
+    let (ticket, _) = fixture.polls.pop().expect("the agent has polled");
     let lease_ms = LEASE.as_millis() as u64;
     let orders = Orders { term: 7, token: TOKEN, lease_ms, noted: 3, ..Orders::default() };
-    bench.handle(100, Event::Orders(ticket, Box::new(orders)));
+    fixture.handle(100, Event::Orders(ticket, Box::new(orders)));
     let mut long_polls = Vec::new();
     for time in (110..1_200).step_by(10) {
-        bench.handle(time, Event::Tick);
+        fixture.handle(time, Event::Tick);
         let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::LongPoll { .. });
-        let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
-        let (ticket, call) = bench.calls.remove(at);
+        let Some(at) = fixture.calls.iter().position(is_long_poll) else { continue };
+        let (ticket, call) = fixture.calls.remove(at);
         let Call::LongPoll { acknowledged, wait, .. } = call else { unreachable!() };
         let is_first =
             acknowledged > 0 && long_polls.iter().all(|(acknowledged, _)| *acknowledged == 0);
         long_polls.push((acknowledged, wait.is_zero()));
         if is_first {
-            bench.handle(time, Event::MinionReply(ticket, Reply::Unknown));
+            fixture.handle(time, Event::MinionReply(ticket, Reply::Unknown));
         } else {
-            bench.send_list(time, ticket, Vec::new());
+            fixture.send_list(time, ticket, Vec::new());
         }
     }
     assert!(
@@ -310,26 +311,26 @@
 /// minion restarted would have the new incarnation forget its ends.
 #[test]
 fn an_agent_that_was_paused_requests_a_list_before_it_acknowledges_ends() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let ended = Ended { number: 3, run: Some(run(1)), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
-    bench.send_list(80, long_poll, vec![ended]);
-    bench.handle(90, Event::Tick);
-    let (ticket, _) = bench.polls.pop().expect("the agent has polled");
-    bench.calls.clear();
+    let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
+    fixture.send_list(80, long_poll, vec![ended]);
+    fixture.handle(90, Event::Tick);
+    let (ticket, _) = fixture.polls.pop().expect("the agent has polled");
+    fixture.calls.clear();
     let lease_ms = LEASE.as_millis() as u64;
     let orders = Orders { term: 7, token: TOKEN, lease_ms, noted: 3, ..Orders::default() };
-    bench.handle(2_000, Event::Orders(ticket, Box::new(orders)));
+    fixture.handle(2_000, Event::Orders(ticket, Box::new(orders)));
     let acknowledged_by = |call: &Call| match call {
         Call::LongPoll { acknowledged, wait, .. } if wait.is_zero() => Some(*acknowledged),
         _ => None,
     };
-    let long_polls = [(); 2].map(|()| bench.take_call(|call| acknowledged_by(call) == Some(0)));
-    assert!(!bench.calls.iter().any(|(_, call)| acknowledged_by(call) == Some(3)));
+    let long_polls = [(); 2].map(|()| fixture.take_call(|call| acknowledged_by(call) == Some(0)));
+    assert!(!fixture.calls.iter().any(|(_, call)| acknowledged_by(call) == Some(3)));
     for long_poll in long_polls {
-        bench.send_list(2_001, long_poll, Vec::new());
+        fixture.send_list(2_001, long_poll, Vec::new());
     }
-    bench.take_call(|call| acknowledged_by(call) == Some(3));
+    fixture.take_call(|call| acknowledged_by(call) == Some(3));
 }
 
 /// Guards against a minion that started while its agent's process was down, and that carries out
--- a/crates/runner/tests/harness/mod.rs
+++ b/crates/runner/tests/harness/mod.rs
@@ -27,15 +27,15 @@
     Start { run: Some(run(number)), spec: "s".to_owned(), ..Start::default() }
 }
 
-/// Test bench: an agent with its polls and calls that are not answered yet, and its log.
-pub(crate) struct Bench {
+/// An agent under test, with its polls and calls that are not answered yet, and its log.
+pub(crate) struct Fixture {
     pub(crate) machine: Machine,
     pub(crate) polls: Vec<(Ticket, Poll)>,
     pub(crate) calls: Vec<(Ticket, Call)>,
     pub(crate) log: Vec<String>,
 }
 
-impl Bench {
+impl Fixture {
     pub(crate) fn new() -> Self {
         let machine = Machine::new(Options {
             name: "a".to_owned(),
@@ -45,7 +45,7 @@
             minion_address: String::new(),
             stop_timeout: ms(400),
         });
-        Bench { machine, polls: Vec::new(), calls: Vec::new(), log: Vec::new() }
+        Fixture { machine, polls: Vec::new(), calls: Vec::new(), log: Vec::new() }
     }
 
     /// Has the agent handle an event at a time in ms, and collects the effects.
@@ -109,17 +109,17 @@
 
     /// An agent in a session, whose minion has acknowledged the token.
     pub(crate) fn fenced() -> Self {
-        let mut bench = Bench::new();
-        bench.heartbeat(0, 1, 1, false);
+        let mut fixture = Fixture::new();
+        fixture.heartbeat(0, 1, 1, false);
         let lead = Lead { name: "e".to_owned(), address: "e:1".to_owned(), term: 7, generation: 1 };
-        bench.handle(10, Event::Leader(lead));
-        bench.answer_polls(20, Vec::new(), Vec::new());
+        fixture.handle(10, Event::Leader(lead));
+        fixture.answer_polls(20, Vec::new(), Vec::new());
         let long_poll =
-            bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
-        bench.send_list(30, long_poll, Vec::new());
-        bench.handle(40, Event::Tick);
-        bench.answer_polls(60, Vec::new(), Vec::new());
-        bench
+            fixture.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
+        fixture.send_list(30, long_poll, Vec::new());
+        fixture.handle(40, Event::Tick);
+        fixture.answer_polls(60, Vec::new(), Vec::new());
+        fixture
     }
 }
 
--- a/crates/runner/tests/orders/mod.rs
+++ b/crates/runner/tests/orders/mod.rs
@@ -8,18 +8,18 @@
     minion::{Call, Heartbeat, Reply},
 };
 
-use crate::harness::{Bench, LEASE, TOKEN, is_start, ms, run, start};
+use crate::harness::{Fixture, LEASE, TOKEN, is_start, ms, run, start};
 
 /// Guards against a task that runs twice: an unanswered start may be carried out at any time until
 /// its lease has ended. The agent repeats it with the same run number, so that the minion
 /// recognises the late one.
 #[test]
 fn an_unanswered_start_is_sent_again_as_the_same_run() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(3)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-    let again = bench.calls.iter().find(|(_, call)| is_start(call)).expect("sent again");
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(3)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+    let again = fixture.calls.iter().find(|(_, call)| is_start(call)).expect("sent again");
     let Call::Start { start: order, token, .. } = &again.1 else { unreachable!() };
     assert_eq!(order.run, Some(run(3)));
     assert_eq!(*token, TOKEN);
@@ -31,20 +31,20 @@
 /// the outcome.
 #[test]
 fn a_start_refused_after_an_unanswered_attempt_is_resolved_by_a_list() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(4)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-    let again = bench.take_call(is_start);
-    bench.handle(410, Event::MinionReply(again, Reply::Refused(Rejection::Old)));
-    bench.handle(450, Event::Tick);
-    assert!(bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may have run");
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(4)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+    let again = fixture.take_call(is_start);
+    fixture.handle(410, Event::MinionReply(again, Reply::Refused(Rejection::Old)));
+    fixture.handle(450, Event::Tick);
+    assert!(fixture.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may have run");
     let done =
         Ended { number: 7, run: Some(run(4)), ending: Ending::Done.into(), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
-    bench.send_list(500, long_poll, vec![done]);
-    bench.handle(550, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
+    fixture.send_list(500, long_poll, vec![done]);
+    fixture.handle(550, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.ended.first().map(|ended| ended.ending()), Some(Ending::Done));
     assert!(poll.verdicts.is_empty() && poll.pending.is_empty());
 }
@@ -54,25 +54,25 @@
 /// invalidates the late start before the refusal is reported.
 #[test]
 fn a_start_rejected_after_an_unanswered_attempt_is_stopped_first() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(4)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-    let again = bench.take_call(is_start);
-    bench.handle(410, Event::MinionReply(again, Reply::Refused(Rejection::Unhealthy)));
-    bench.handle(450, Event::Tick);
-    assert!(bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may run later");
-    let stop = bench.take_call(|call| matches!(call, Call::Stop { number: 4, .. }));
-    bench.handle(460, Event::MinionReply(stop, Reply::Done));
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(4)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+    let again = fixture.take_call(is_start);
+    fixture.handle(410, Event::MinionReply(again, Reply::Refused(Rejection::Unhealthy)));
+    fixture.handle(450, Event::Tick);
+    assert!(fixture.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "it may run later");
+    let stop = fixture.take_call(|call| matches!(call, Call::Stop { number: 4, .. }));
+    fixture.handle(460, Event::MinionReply(stop, Reply::Done));
     let mut reported = Vec::new();
     for time in [470, 900, 1_350, 1_800, 2_250] {
-        let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
-        bench.send_list(time, long_poll, Vec::new());
-        bench.handle(time + 10, Event::Tick);
-        reported.extend(bench.polls.iter().flat_map(|(_, poll)| poll.verdicts.clone()));
-        bench.answer_polls(time + 400, Vec::new(), Vec::new());
-        bench.handle(time + 420, Event::Tick);
-        reported.extend(bench.polls.iter().flat_map(|(_, poll)| poll.verdicts.clone()));
+        let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
+        fixture.send_list(time, long_poll, Vec::new());
+        fixture.handle(time + 10, Event::Tick);
+        reported.extend(fixture.polls.iter().flat_map(|(_, poll)| poll.verdicts.clone()));
+        fixture.answer_polls(time + 400, Vec::new(), Vec::new());
+        fixture.handle(time + 420, Event::Tick);
+        reported.extend(fixture.polls.iter().flat_map(|(_, poll)| poll.verdicts.clone()));
     }
     assert_eq!(reported.first().map(|verdict| verdict.rejection()), Some(Rejection::Old));
 }
@@ -82,28 +82,28 @@
 /// start of the second answer, which arrives after that, must not be carried out.
 #[test]
 fn a_refused_start_is_not_attempted_again_for_a_late_answer() {
-    let mut bench = Bench::fenced();
-    let (early, _) = bench.polls.pop().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    let (early, _) = fixture.polls.pop().expect("the agent has polled");
     // A change of the minion lets the agent poll again while the planner holds the first poll.
-    bench.heartbeat(70, 1, 2, false);
+    fixture.heartbeat(70, 1, 2, false);
     let ended = Ended { number: 1, run: Some(run(9)), ..Ended::default() };
-    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
-    bench.send_list(80, long_poll, vec![ended]);
-    bench.handle(90, Event::Tick);
-    let (late, _) = bench.polls.pop().expect("the agent has polled again");
+    let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
+    fixture.send_list(80, long_poll, vec![ended]);
+    fixture.handle(90, Event::Tick);
+    let (late, _) = fixture.polls.pop().expect("the agent has polled again");
     let orders = |starts: Vec<Start>| {
         let lease_ms = LEASE.as_millis() as u64;
         Box::new(Orders { term: 7, token: TOKEN, lease_ms, starts, ..Orders::default() })
     };
-    bench.handle(100, Event::Orders(early, orders(vec![start(2)])));
-    let first = bench.take_call(is_start);
-    bench.handle(101, Event::MinionReply(first, Reply::Refused(Rejection::Unhealthy)));
-    bench.handle(108, Event::Orders(late, orders(vec![start(2)])));
-    bench.handle(120, Event::Tick);
-    assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "it was reported as refused");
+    fixture.handle(100, Event::Orders(early, orders(vec![start(2)])));
+    let first = fixture.take_call(is_start);
+    fixture.handle(101, Event::MinionReply(first, Reply::Refused(Rejection::Unhealthy)));
+    fixture.handle(108, Event::Orders(late, orders(vec![start(2)])));
+    fixture.handle(120, Event::Tick);
+    assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)), "it was reported as refused");
     // A later run of the same task is another matter.
-    bench.answer_polls(200, vec![start(3)], Vec::new());
-    bench.take_call(is_start);
+    fixture.answer_polls(200, vec![start(3)], Vec::new());
+    fixture.take_call(is_start);
 }
 
 /// Guards against a cancelled job that runs on: an unhealthy minion refuses the stop and changes
@@ -111,27 +111,27 @@
 /// start, while an earlier attempt of its start may still be carried out.
 #[test]
 fn a_stop_that_an_unhealthy_minion_refuses_is_sent_again() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, Vec::new(), vec![run(4)]);
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, Vec::new(), vec![run(4)]);
     let is_stop = |call: &Call| matches!(call, Call::Stop { number: 4, .. });
-    let first = bench.take_call(is_stop);
-    bench.handle(110, Event::MinionReply(first, Reply::Refused(Rejection::Unhealthy)));
-    let again = bench.take_call(is_stop);
-    bench.handle(120, Event::MinionReply(again, Reply::Done));
-    bench.handle(130, Event::Tick);
-    assert!(!bench.calls.iter().any(|(_, call)| is_stop(call)));
+    let first = fixture.take_call(is_stop);
+    fixture.handle(110, Event::MinionReply(first, Reply::Refused(Rejection::Unhealthy)));
+    let again = fixture.take_call(is_stop);
+    fixture.handle(120, Event::MinionReply(again, Reply::Done));
+    fixture.handle(130, Event::Tick);
+    assert!(!fixture.calls.iter().any(|(_, call)| is_stop(call)));
 }
 
 /// A start that is refused on its first attempt has certainly not been carried out: the planner
 /// learns of it at once, and places the task elsewhere without waiting for a list.
 #[test]
 fn a_start_refused_on_its_first_attempt_is_reported_at_once() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(4)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(110, Event::MinionReply(first, Reply::Refused(Rejection::NoRoom)));
-    bench.handle(150, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(4)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(110, Event::MinionReply(first, Reply::Refused(Rejection::NoRoom)));
+    fixture.handle(150, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.verdicts.last().map(|verdict| verdict.rejection()), Some(Rejection::NoRoom));
 }
 
@@ -140,11 +140,11 @@
 /// not send an outstanding order after that.
 #[test]
 fn nothing_is_started_without_a_lease() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let expired = 20 + LEASE.as_millis() as u64 + 10_000;
-    bench.handle(expired, Event::Tick);
-    bench.calls.clear();
-    bench.machine.handle(ms(expired), Event::Tick);
+    fixture.handle(expired, Event::Tick);
+    fixture.calls.clear();
+    fixture.machine.handle(ms(expired), Event::Tick);
     let orders = Orders {
         term: 7,
         token: TOKEN,
@@ -153,39 +153,39 @@
         ..Orders::default()
     };
     // A very late answer to a poll, whose ticket the agent no longer knows.
-    bench.handle(expired + 1, Event::Orders(1, Box::new(orders)));
-    bench.handle(expired + 200, Event::Tick);
-    assert!(!bench.calls.iter().any(|(_, call)| is_start(call)));
+    fixture.handle(expired + 1, Event::Orders(1, Box::new(orders)));
+    fixture.handle(expired + 200, Event::Tick);
+    assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)));
 }
 
 /// Guards against a cancelled job that keeps a worker busy: the start is still unanswered when the
 /// stop is ordered. The stop resolves it, and the planner learns that the run is not there.
 #[test]
 fn a_stop_resolves_an_unanswered_start() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(110, Event::Tick);
-    bench.answer_polls(150, Vec::new(), vec![run(1)]);
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-    let stop = bench.take_call(|call| matches!(call, Call::Stop { .. }));
-    bench.handle(420, Event::MinionReply(stop, Reply::Done));
-    bench.answer_polls(430, Vec::new(), Vec::new());
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(110, Event::Tick);
+    fixture.answer_polls(150, Vec::new(), vec![run(1)]);
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+    let stop = fixture.take_call(|call| matches!(call, Call::Stop { .. }));
+    fixture.handle(420, Event::MinionReply(stop, Reply::Done));
+    fixture.answer_polls(430, Vec::new(), Vec::new());
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
-    bench.send_list(440, long_poll, Vec::new());
-    bench.handle(460, Event::Tick);
+        fixture.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
+    fixture.send_list(440, long_poll, Vec::new());
+    fixture.handle(460, Event::Tick);
     assert!(
-        bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()),
+        fixture.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()),
         "its resources may be occupied"
     );
-    bench.calls.clear();
-    bench.answer_polls(810, Vec::new(), Vec::new());
-    bench.handle(830, Event::Tick);
-    let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
-    bench.send_list(850, long_poll, Vec::new());
-    bench.handle(870, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.calls.clear();
+    fixture.answer_polls(810, Vec::new(), Vec::new());
+    fixture.handle(830, Event::Tick);
+    let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
+    fixture.send_list(850, long_poll, Vec::new());
+    fixture.handle(870, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert!(poll.pending.is_empty());
     assert_eq!(poll.verdicts.last().map(|verdict| verdict.rejection()), Some(Rejection::Old));
 }
@@ -194,40 +194,40 @@
 /// repeated again and again.
 #[test]
 fn an_unanswered_start_is_stopped_when_the_minion_drains() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    let order = bench.take_call(is_start);
-    bench.handle(400, Event::MinionReply(order, Reply::Unknown));
-    let again = bench.take_call(is_start);
-    bench.heartbeat(450, 1, 2, true);
-    bench.handle(700, Event::MinionReply(again, Reply::Unknown));
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    let order = fixture.take_call(is_start);
+    fixture.handle(400, Event::MinionReply(order, Reply::Unknown));
+    let again = fixture.take_call(is_start);
+    fixture.heartbeat(450, 1, 2, true);
+    fixture.handle(700, Event::MinionReply(again, Reply::Unknown));
     for time in (700..3_000).step_by(50) {
-        bench.handle(time, Event::Tick);
+        fixture.handle(time, Event::Tick);
     }
-    assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "{:?}", bench.calls);
-    bench.take_call(|call| matches!(call, Call::Stop { number: 1, .. }));
+    assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)), "{:?}", fixture.calls);
+    fixture.take_call(|call| matches!(call, Call::Stop { number: 1, .. }));
 }
 
 /// Guards against a start that is sent for the first time after the minion began to drain.
 #[test]
 fn an_unsent_start_is_refused_when_the_minion_drains() {
-    let mut bench = Bench::fenced();
+    let mut fixture = Fixture::fenced();
     let starts = (0..5).map(|index| {
         let run = Run { index, ..run(1) };
         Start { run: Some(run), spec: "s".to_owned(), ..Start::default() }
     });
-    bench.answer_polls(100, starts.collect(), Vec::new());
-    let sent = bench.calls.iter().filter(|(_, call)| is_start(call)).count();
-    bench.heartbeat(150, 1, 2, true);
-    while let Some(at) = bench.calls.iter().position(|(_, call)| is_start(call)) {
-        let (ticket, _) = bench.calls.remove(at);
-        bench.handle(200, Event::MinionReply(ticket, Reply::Done));
+    fixture.answer_polls(100, starts.collect(), Vec::new());
+    let sent = fixture.calls.iter().filter(|(_, call)| is_start(call)).count();
+    fixture.heartbeat(150, 1, 2, true);
+    while let Some(at) = fixture.calls.iter().position(|(_, call)| is_start(call)) {
+        let (ticket, _) = fixture.calls.remove(at);
+        fixture.handle(200, Event::MinionReply(ticket, Reply::Done));
     }
-    bench.handle(250, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.handle(250, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     let refused = poll.verdicts.iter().filter(|it| it.rejection() == Rejection::Draining);
     assert_eq!(refused.count(), 5 - sent);
-    assert!(!bench.calls.iter().any(|(_, call)| is_start(call)));
+    assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)));
 }
 
 /// Guards against a task that starts again after it was done: a late attempt is carried out, and
@@ -238,21 +238,21 @@
         Ended { number: 1, run: Some(run(1)), ending: Ending::Done.into(), ..Ended::default() };
     let running = Running { run: Some(run(1)), ..Running::default() };
     for (running, ended) in [(vec![running], Vec::new()), (Vec::new(), vec![done])] {
-        let mut bench = Bench::fenced();
-        bench.answer_polls(100, vec![start(1)], Vec::new());
-        let first = bench.take_call(is_start);
-        bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-        let second = bench.take_call(is_start);
-        bench.handle(700, Event::MinionReply(second, Reply::Unknown));
-        let long_poll = bench.take_call(|call| matches!(call, Call::LongPoll { .. }));
+        let mut fixture = Fixture::fenced();
+        fixture.answer_polls(100, vec![start(1)], Vec::new());
+        let first = fixture.take_call(is_start);
+        fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+        let second = fixture.take_call(is_start);
+        fixture.handle(700, Event::MinionReply(second, Reply::Unknown));
+        let long_poll = fixture.take_call(|call| matches!(call, Call::LongPoll { .. }));
         let clock = ms(710);
         let list = Reply::Listed { born_ms: 1, clock, running, ended, unreadable: 0 };
-        bench.handle(710, Event::MinionReply(long_poll, list));
+        fixture.handle(710, Event::MinionReply(long_poll, list));
         for time in (720..4_000).step_by(60) {
-            bench.handle(time, Event::Tick);
+            fixture.handle(time, Event::Tick);
         }
-        assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "{:?}", bench.calls);
-        let (_, poll) = bench.polls.last().expect("the agent has polled");
+        assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)), "{:?}", fixture.calls);
+        let (_, poll) = fixture.polls.last().expect("the agent has polled");
         assert!(poll.pending.is_empty());
     }
 }
@@ -261,32 +261,32 @@
 /// new incarnation has carried out a late order of an earlier run of the task.
 #[test]
 fn an_agent_that_was_paused_requests_a_list_before_it_sends_orders() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(2)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(2_000, Event::MinionReply(first, Reply::Unknown));
-    assert!(!bench.calls.iter().any(|(_, call)| is_start(call)), "another incarnation may run");
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(2)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(2_000, Event::MinionReply(first, Reply::Unknown));
+    assert!(!fixture.calls.iter().any(|(_, call)| is_start(call)), "another incarnation may run");
     let long_poll =
-        bench.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
-    bench.send_list(2_001, long_poll, Vec::new());
-    bench.take_call(is_start);
+        fixture.take_call(|call| matches!(call, Call::LongPoll { wait, .. } if wait.is_zero()));
+    fixture.send_list(2_001, long_poll, Vec::new());
+    fixture.take_call(is_start);
 }
 
 /// Guards against a planner that takes a stop for being in progress while the agent still has only
 /// the start.
 #[test]
 fn polls_report_outstanding_starts_and_stops_separately() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    bench.handle(150, Event::Tick);
-    let outstanding = |bench: &Bench| {
-        let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    fixture.handle(150, Event::Tick);
+    let outstanding = |fixture: &Fixture| {
+        let (_, poll) = fixture.polls.last().expect("the agent has polled");
         (poll.pending.clone(), poll.stopping.clone())
     };
-    assert_eq!(outstanding(&bench), (vec![run(1)], Vec::new()));
-    bench.answer_polls(200, Vec::new(), vec![run(1)]);
-    bench.handle(250, Event::Tick);
-    assert_eq!(outstanding(&bench), (Vec::new(), vec![run(1)]));
+    assert_eq!(outstanding(&fixture), (vec![run(1)], Vec::new()));
+    fixture.answer_polls(200, Vec::new(), vec![run(1)]);
+    fixture.handle(250, Event::Tick);
+    assert_eq!(outstanding(&fixture), (Vec::new(), vec![run(1)]));
 }
 
 /// Guards against a stop that counts as carried out although the minion could not read it, and
@@ -294,17 +294,17 @@
 #[test]
 fn a_stop_that_was_not_carried_out_is_sent_again_after_a_delay() {
     for rejection in [Rejection::Fenced, Rejection::Malformed] {
-        let mut bench = Bench::fenced();
-        bench.answer_polls(100, Vec::new(), vec![run(1)]);
+        let mut fixture = Fixture::fenced();
+        fixture.answer_polls(100, Vec::new(), vec![run(1)]);
         let is_stop = |call: &Call| matches!(call, Call::Stop { .. });
         let mut sent = 0;
         for time in 110..1_110 {
-            if let Some(at) = bench.calls.iter().position(|(_, call)| is_stop(call)) {
-                let (ticket, _) = bench.calls.remove(at);
+            if let Some(at) = fixture.calls.iter().position(|(_, call)| is_stop(call)) {
+                let (ticket, _) = fixture.calls.remove(at);
                 sent += 1;
-                bench.handle(time, Event::MinionReply(ticket, Reply::Refused(rejection)));
+                fixture.handle(time, Event::MinionReply(ticket, Reply::Refused(rejection)));
             } else {
-                bench.handle(time, Event::Tick);
+                fixture.handle(time, Event::Tick);
             }
         }
         assert!((2..=6).contains(&sent), "{rejection:?}: {sent} times in a second");
@@ -315,43 +315,43 @@
 /// incarnation of the minion or by the next.
 #[test]
 fn polls_report_unanswered_starts() {
-    let mut bench = Bench::fenced();
-    let reported = |bench: &mut Bench, now: u64| {
-        bench.answer_polls(now, Vec::new(), Vec::new());
-        bench.handle(now + 20, Event::Tick);
-        let (_, poll) = bench.polls.last().expect("the agent has polled");
+    let mut fixture = Fixture::fenced();
+    let reported = |fixture: &mut Fixture, now: u64| {
+        fixture.answer_polls(now, Vec::new(), Vec::new());
+        fixture.handle(now + 20, Event::Tick);
+        let (_, poll) = fixture.polls.last().expect("the agent has polled");
         let row = |row: &Unanswered| (row.run.as_ref().map_or(0, |run| run.run), row.age_ms);
         poll.unanswered.iter().map(row).collect::<Vec<_>>()
     };
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    let first = bench.take_call(is_start);
-    assert_eq!(reported(&mut bench, 200), [], "an answer may come");
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-    assert_eq!(reported(&mut bench, 480), [(1, 380)]);
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    let first = fixture.take_call(is_start);
+    assert_eq!(reported(&mut fixture, 200), [], "an answer may come");
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+    assert_eq!(reported(&mut fixture, 480), [(1, 380)]);
     // The run has started, and the earlier attempt is still in flight.
-    let second = bench.take_call(is_start);
-    bench.handle(510, Event::MinionReply(second, Reply::Done));
-    assert_eq!(reported(&mut bench, 580), [(1, 480)]);
+    let second = fixture.take_call(is_start);
+    fixture.handle(510, Event::MinionReply(second, Reply::Done));
+    assert_eq!(reported(&mut fixture, 580), [(1, 480)]);
     // The minion restarts under its name, which does not invalidate starts in flight.
-    bench.heartbeat(600, 2, 1, false);
-    assert_eq!(reported(&mut bench, 680), [(1, 580)]);
-    assert_eq!(reported(&mut bench, 12_060), [(1, 11_960)]);
-    assert_eq!(reported(&mut bench, 12_100), []);
+    fixture.heartbeat(600, 2, 1, false);
+    assert_eq!(reported(&mut fixture, 680), [(1, 580)]);
+    assert_eq!(reported(&mut fixture, 12_060), [(1, 11_960)]);
+    assert_eq!(reported(&mut fixture, 12_100), []);
 }
 
 /// Guards against tasks that wait without need: calls name the minion that they are meant for, so a
 /// minion of another name never carries out an unanswered start.
 #[test]
 fn a_minion_of_another_name_carries_out_no_earlier_start() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
     let incarnation = Incarnation { id: "n".to_owned(), born_ms: 2, ..Incarnation::default() };
     let heartbeat = Heartbeat { incarnation, address: "n:1".to_owned(), sequence: 1 };
-    bench.handle(410, Event::Heartbeat(Box::new(heartbeat)));
-    bench.handle(450, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.handle(410, Event::Heartbeat(Box::new(heartbeat)));
+    fixture.handle(450, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.unanswered, []);
 }
 
@@ -359,51 +359,51 @@
 /// waits for an answer of the previous one.
 #[test]
 fn long_polls_wait_briefly_while_a_start_may_still_be_carried_out() {
-    let mut bench = Bench::fenced();
-    let longest_wait = |bench: &mut Bench, from: u64, to: u64| {
+    let mut fixture = Fixture::fenced();
+    let longest_wait = |fixture: &mut Fixture, from: u64, to: u64| {
         let mut longest = 0;
         for time in (from..to).step_by(10) {
-            bench.handle(time, Event::Tick);
+            fixture.handle(time, Event::Tick);
             let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::LongPoll { .. });
-            let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
-            let (ticket, call) = bench.calls.remove(at);
+            let Some(at) = fixture.calls.iter().position(is_long_poll) else { continue };
+            let (ticket, call) = fixture.calls.remove(at);
             let Call::LongPoll { wait, .. } = call else { unreachable!() };
             longest = wait.as_millis().max(longest);
-            bench.send_list(time, ticket, Vec::new());
+            fixture.send_list(time, ticket, Vec::new());
         }
         longest
     };
-    assert_eq!(longest_wait(&mut bench, 90, 100), 400);
-    bench.answer_polls(100, vec![start(1)], Vec::new());
-    let first = bench.take_call(is_start);
-    bench.handle(400, Event::MinionReply(first, Reply::Unknown));
-    let second = bench.take_call(is_start);
-    bench.handle(410, Event::MinionReply(second, Reply::Done));
-    longest_wait(&mut bench, 420, 440);
-    assert_eq!(longest_wait(&mut bench, 440, 12_080), 20);
-    assert_eq!(longest_wait(&mut bench, 12_110, 12_200), 400);
+    assert_eq!(longest_wait(&mut fixture, 90, 100), 400);
+    fixture.answer_polls(100, vec![start(1)], Vec::new());
+    let first = fixture.take_call(is_start);
+    fixture.handle(400, Event::MinionReply(first, Reply::Unknown));
+    let second = fixture.take_call(is_start);
+    fixture.handle(410, Event::MinionReply(second, Reply::Done));
+    longest_wait(&mut fixture, 420, 440);
+    assert_eq!(longest_wait(&mut fixture, 440, 12_080), 20);
+    assert_eq!(longest_wait(&mut fixture, 12_110, 12_200), 400);
 }
 
 /// Guards against a task that was done and starts again: a stop must not count as resolved while
 /// the end of its run may be beyond those of one list.
 #[test]
 fn a_run_that_is_missing_from_a_list_that_is_cut_off_may_have_ended() {
-    let mut bench = Bench::fenced();
-    bench.answer_polls(100, Vec::new(), vec![run(1)]);
-    let stop = bench.take_call(|call| matches!(call, Call::Stop { .. }));
-    bench.handle(110, Event::MinionReply(stop, Reply::Done));
+    let mut fixture = Fixture::fenced();
+    fixture.answer_polls(100, Vec::new(), vec![run(1)]);
+    let stop = fixture.take_call(|call| matches!(call, Call::Stop { .. }));
+    fixture.handle(110, Event::MinionReply(stop, Reply::Done));
     let other = |number| Ended { number, run: Some(run(9)), ..Ended::default() };
     for time in (600..2_000).step_by(100) {
-        bench.handle(time, Event::Tick);
+        fixture.handle(time, Event::Tick);
         let is_long_poll = |(_, call): &(_, Call)| matches!(call, Call::LongPoll { .. });
-        let Some(at) = bench.calls.iter().position(is_long_poll) else { continue };
-        let (ticket, _) = bench.calls.remove(at);
-        bench.send_list(time, ticket, (1..=500).map(other).collect());
-        bench.handle(time + 10, Event::Tick);
-        assert!(bench.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "at {time}");
-        bench.answer_polls(time + 20, Vec::new(), Vec::new());
+        let Some(at) = fixture.calls.iter().position(is_long_poll) else { continue };
+        let (ticket, _) = fixture.calls.remove(at);
+        fixture.send_list(time, ticket, (1..=500).map(other).collect());
+        fixture.handle(time + 10, Event::Tick);
+        assert!(fixture.polls.iter().all(|(_, poll)| poll.verdicts.is_empty()), "at {time}");
+        fixture.answer_polls(time + 20, Vec::new(), Vec::new());
     }
-    bench.handle(2_100, Event::Tick);
-    let (_, poll) = bench.polls.last().expect("the agent has polled");
+    fixture.handle(2_100, Event::Tick);
+    let (_, poll) = fixture.polls.last().expect("the agent has polled");
     assert_eq!(poll.stopping, [run(1)]);
 }
